--- a/mintsaddle/decisions/expert_maps/__init__.py
+++ b/mintsaddle/decisions/expert_maps/__init__.py
@@ -1,23 +1,23 @@
-"""Which rank holds which experts, and how a group changes that in step."""
+"""Placement of experts on the ranks of a group, and switching it safely."""
 
 from mintsaddle.decisions.expert_maps._armed_begin import (
     begin_switch,
     draw_version,
-    withdraw_held,
+    roll_back_held_switch,
 )
 from mintsaddle.decisions.expert_maps._armed_state import (
-    OVER,
+    TERMINAL_STAGES,
     ArmedSwitch,
     MapOrder,
     OrderAct,
+    OrderOutcome,
     RankReport,
     SwitchStage,
-    Verdict,
 )
 from mintsaddle.decisions.expert_maps._armed_switch import (
     choose_step,
     hold_at,
-    must_read_first,
+    needs_fresh_reports,
     next_map_orders,
     ranks_to_read,
     record_answers,
@@ -41,9 +41,9 @@
 )
 from mintsaddle.decisions.expert_maps._popularity import PopularityCounts
 from mintsaddle.decisions.expert_maps._ranks import (
+    OrderDecision,
     RankState,
-    RankVerdict,
-    judge_order,
+    check_order,
 )
 from mintsaddle.decisions.expert_maps._spread import (
     SpreadLimits,
@@ -51,17 +51,17 @@
     slowest_share,
     spread_experts,
 )
-from mintsaddle.decisions.expert_maps._stall import StallWatch, watchdog_timeout
+from mintsaddle.decisions.expert_maps._stall import StallDetector, watchdog_timeout
 from mintsaddle.decisions.expert_maps._switch import (
     GroupAct,
     GroupOrder,
     RankReading,
     RankReply,
     SwitchPhase,
-    SwitchState,
+    SwitchRound,
     next_orders,
     record_reply,
-    start_switch,
+    start_round,
 )
 from mintsaddle.decisions.expert_maps._watch import MapWatch, choose_samples
 
@@ -74,7 +74,7 @@
     "HORIZON_INTERVALS",
     "MapOrder",
     "MapWatch",
-    "OVER",
+    "TERMINAL_STAGES",
     "OrderAct",
     "PlanCost",
     "Popularity",
@@ -83,13 +83,13 @@
     "RankReply",
     "RankReport",
     "RankState",
-    "RankVerdict",
+    "OrderDecision",
     "SpreadLimits",
-    "StallWatch",
+    "StallDetector",
     "SwitchPhase",
     "SwitchStage",
-    "SwitchState",
-    "Verdict",
+    "SwitchRound",
+    "OrderOutcome",
     "begin_switch",
     "choose_limits",
     "choose_samples",
@@ -99,10 +99,10 @@
     "watchdog_timeout",
     "hold_at",
     "is_complete",
-    "judge_order",
+    "check_order",
     "make_first_map",
     "measure_skew",
-    "must_read_first",
+    "needs_fresh_reports",
     "next_map_orders",
     "next_orders",
     "record_answers",
@@ -111,9 +111,9 @@
     "plan_afresh",
     "plan_moves",
     "ranks_to_read",
-    "withdraw_held",
+    "roll_back_held_switch",
     "slowest_share",
     "spread_experts",
-    "start_switch",
+    "start_round",
     "step_load",
 ]
--- a/mintsaddle/decisions/expert_maps/_armed_state.py
+++ b/mintsaddle/decisions/expert_maps/_armed_state.py
@@ -1,4 +1,4 @@
-"""Orders, reports and the state of a switch that is armed rank by rank."""
+"""Orders, reports and state of a map switch that is armed rank by rank."""
 
 import enum
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 
 
 class OrderAct(enum.Enum):
-    """What a rank's engine is told."""
+    """Operations that a rank's engine can be ordered to perform."""
 
     PREPARE = "prepare"
     HOLD = "hold"
@@ -18,22 +18,22 @@
     RELEASE = "release"
 
 
-class Verdict(enum.Enum):
-    """How a rank's engine answered an order."""
+class OrderOutcome(enum.Enum):
+    """A rank engine's answer to an order."""
 
     BEGUN = "begun"
-    """It has begun what it was told."""
+    """The operation has been started."""
 
     DONE = "done"
-    """It has done what it was told, now or before: which, it doesn't tell."""
+    """The operation is complete, by this order or by an earlier one."""
 
     REFUSED = "refused"
     UNKNOWN = "unknown"
-    """No answer: it may have been carried out, or may be later."""
+    """No answer; the order may have been carried out or may be later."""
 
 
 class MapOrder(NamedTuple):
-    """One order to one rank."""
+    """An order to one rank."""
 
     rank: int
     act: OrderAct
@@ -42,46 +42,46 @@
     version: int = 0
     step: int = 0
     layers: tuple[tuple[tuple[int, ...], ...], ...] = ()
-    """For prepare: experts by layer and rank."""
+    """Experts by layer and rank; only for PREPARE."""
 
 
 class RankReport(NamedTuple):
-    """What a rank's engine says of itself."""
+    """State reported by a rank's engine."""
 
     rank: int
     epoch: int
     is_open: bool
     is_busy: bool
-    """Whether it is loading weights."""
+    """Whether the engine is loading weights."""
 
     step: int
-    """The last step that was begun."""
+    """The last step that has begun."""
 
     running: int
-    """Requests that it is writing."""
+    """Requests that the engine is generating output for."""
 
     version: int
     """Version of the map in use."""
 
     prepared: int | None
     armed: int | None
-    """Version that it will switch to."""
+    """Version that the rank is armed to switch to."""
 
     held: int | None
-    """Step that doesn't begin before a release."""
+    """Step that doesn't begin until it is released."""
 
     slowness: float = 1.0
-    """Times that its work takes; above 1 it holds up the whole group."""
+    """Factor on the rank's work time; above 1 it delays the whole group."""
 
     queued: int = 0
-    """Requests that wait for a place."""
+    """Requests waiting for a free slot."""
 
     is_fresh: bool = False
-    """Whether it tells what holds now; else it may be 0.2 s old."""
+    """Whether the report is current; otherwise it may be 0.2 s old."""
 
 
-def told_versions(reports: Sequence[RankReport]) -> list[int]:
-    """Return the versions that ranks use, have prepared or are armed for."""
+def reported_versions(reports: Sequence[RankReport]) -> list[int]:
+    """Return all versions that ranks report as active, prepared or armed."""
     return [
         version
         for report in reports
@@ -90,7 +90,7 @@
 
 
 class SwitchStage(enum.Enum):
-    """How far a switch is."""
+    """Stage of a switch."""
 
     PREPARE = "prepare"
     HOLD = "hold"
@@ -101,54 +101,54 @@
     DONE = "done"
     FAILED = "failed"
     VOID = "void"
-    """The group has formed anew meanwhile."""
+    """The group has started a new epoch."""
 
 
-OVER = frozenset({SwitchStage.DONE, SwitchStage.FAILED, SwitchStage.VOID})
-"""Stages after which no order follows."""
+TERMINAL_STAGES = frozenset({SwitchStage.DONE, SwitchStage.FAILED, SwitchStage.VOID})
+"""Stages that send no further orders."""
 
 
-WITHDRAWING = frozenset({SwitchStage.DISARM, SwitchStage.FENCE})
-"""Stages in which a switch is taken back."""
+ROLLBACK_STAGES = frozenset({SwitchStage.DISARM, SwitchStage.FENCE})
+"""Stages that roll a switch back."""
 
 
 class ArmedSwitch(NamedTuple):
-    """One switch, as its coordinator sees it."""
+    """State of one switch as known to its coordinator."""
 
     epoch: int
     ranks: int
     old_map: ExpertMap
     new_map: ExpertMap
     stage: SwitchStage
-    give_up_at: Instant
-    """When the loading of weights is given up."""
+    load_deadline: Instant
+    """When the switch fails if weights are still being loaded."""
 
-    settled: frozenset[int] = frozenset()
-    """Ranks that the present stage is through with."""
+    completed_ranks: frozenset[int] = frozenset()
+    """Ranks that have completed the current stage."""
 
     refused: frozenset[int] = frozenset()
-    """Ranks that refused the last order; a report has to tell why."""
+    """Ranks that refused the last order; the cause is read from a report."""
 
-    holder: int = 0
+    hold_rank: int = 0
     """Rank at which this coordinator holds the step."""
 
-    holders: frozenset[int] = frozenset()
-    """Ranks at which the step is held, by whomever."""
+    held_ranks: frozenset[int] = frozenset()
+    """Ranks at which any coordinator holds the step."""
 
     step: int = 0
-    """The step that is held and at which the map changes; 0: to be chosen."""
+    """Step that is held and at which the map changes; 0 if not yet chosen."""
 
-    holds: int = 0
-    """Steps tried so far."""
+    hold_attempts: int = 0
+    """Hold steps tried so far."""
 
-    is_foreign: bool = False
-    """Whether another coordinator began it."""
+    is_recovery: bool = False
+    """Whether this rolls back a switch of another coordinator."""
 
-    doomed: tuple[int, ...] = ()
-    """For each rank the version that it has to be disarmed of; 0: none."""
+    versions_to_disarm: tuple[int, ...] = ()
+    """Version to disarm at each rank; 0 if none."""
 
-    fence: int = 0
-    """Version of the old map that takes the place of the new one."""
+    fence_version: int = 0
+    """Version under which the old map replaces the new one in a rollback."""
 
     succeeded: bool = False
     """Whether all ranks were armed."""
--- a/mintsaddle/decisions/expert_maps/_ranks.py
+++ b/mintsaddle/decisions/expert_maps/_ranks.py
@@ -1,4 +1,4 @@
-"""A rank's daemon: it obeys the highest ballot that it has seen."""
+"""Order checks in a rank's daemon, which obeys only the highest ballot."""
 
 import enum
 
@@ -9,21 +9,21 @@
 """Seconds after which an order to an engine no longer takes effect."""
 
 
-class RankVerdict(enum.Enum):
-    """What a rank's daemon does with an order."""
+class OrderDecision(enum.Enum):
+    """How a rank's daemon handles an order."""
 
     OBEY = "obey"
-    """Pass it on to the engine and read back."""
+    """Forward the order to the engine and read the state back."""
 
     READ = "read"
-    """Only read back."""
+    """Only read the state back."""
 
     REFUSE = "refuse"
-    """Do nothing; the answer tells the higher ballot."""
+    """Do nothing; the answer contains the higher ballot."""
 
 
 class RankState:
-    """The highest ballot that one run of a rank's daemon has seen."""
+    """Highest ballot seen by one run of a rank's daemon."""
 
     def __init__(self, boot: Boot, boot_at: Instant) -> None:
         self._boot = boot
@@ -33,12 +33,12 @@
 
     @property
     def boot(self) -> Boot:
-        """This run."""
+        """Identifier of this run."""
         return self._boot
 
     @property
     def ready_at(self) -> Instant:
-        """Until then an order of the run before may still take effect."""
+        """When orders of the previous run can no longer take effect."""
         return self._ready_at
 
     @property
@@ -48,29 +48,29 @@
 
     @property
     def sequence(self) -> int:
-        """The highest phase seen within that ballot."""
+        """The highest sequence number seen for that ballot."""
         return self._sequence
 
-    def put_ballot(self, ballot: int, sequence: int) -> None:
-        """Note a ballot and a phase that are no lower."""
+    def record_ballot(self, ballot: int, sequence: int) -> None:
+        """Record a ballot and sequence number that are no lower."""
         self._ballot = ballot
         self._sequence = sequence
 
 
-def judge_order(state: RankState, order: GroupOrder, now: Instant) -> RankVerdict:
-    """Decide on an order; a higher ballot is noted.
+def check_order(state: RankState, order: GroupOrder, now: Instant) -> OrderDecision:
+    """Return how to handle an order, and record its ballot if it is higher.
 
-    Guards against a coordinator that was frozen and goes on with an old
-    round, which would show as ranks that step on different maps. Its ballot
-    is lower, or its order names a run of this daemon that is over. A fresh
-    run waits until orders of the run before can't take effect any more, since
-    some engines ignore fencing numbers.
+    Guards against a frozen coordinator that resumes an old round: ranks would
+    run a step with different maps. Its orders have a lower ballot or name an
+    earlier run of this daemon. A new run refuses orders until those of the
+    previous run can no longer take effect, since some engines ignore fencing
+    numbers.
     """
     if (order.ballot, order.sequence) < (state.ballot, state.sequence):
-        return RankVerdict.REFUSE
-    state.put_ballot(order.ballot, order.sequence)
+        return OrderDecision.REFUSE
+    state.record_ballot(order.ballot, order.sequence)
     if order.act is GroupAct.READ:
-        return RankVerdict.READ
+        return OrderDecision.READ
     if order.boot != state.boot or now < state.ready_at:
-        return RankVerdict.REFUSE
-    return RankVerdict.OBEY
+        return OrderDecision.REFUSE
+    return OrderDecision.OBEY
--- a/mintsaddle/decisions/expert_maps/_stall.py
+++ b/mintsaddle/decisions/expert_maps/_stall.py
@@ -1,45 +1,45 @@
-"""Noticing that a group stands still although it has work.
+"""Detects a group that begins no steps although it has work.
 
-Failure: an entry has held a step for a switch of the map and is killed or
-frozen before it lets the step begin. All streams of the group pause for good,
-and callers leave after two seconds.
+Failure: an entry holds a step for a map switch and is killed or frozen before
+it releases the step. All streams of the group then pause indefinitely, and
+callers leave after two seconds.
 """
 
 from mintsaddle.values import Instant
 
-STUCK_SECONDS = 0.6
-"""Seconds without a step, with requests running, after which a held step is
-looked for: the longest steps take 0.25 s."""
+STALL_TIMEOUT_SECONDS = 0.6
+"""Seconds without a new step while requests run, after which the group is
+checked for a held step. The longest steps take 0.25 s."""
 
-WATCHDOG_SECONDS = 0.3
-"""Seconds more for each successor that ranks higher: two that withdraw a
-switch at once hinder each other."""
+SUCCESSOR_DELAY_SECONDS = 0.3
+"""Additional delay for each successor that comes earlier in the order: two
+rollbacks at the same time would interfere with each other."""
 
 
-def watchdog_timeout(place: int) -> float:
-    """Return for how long a group may stand still until a successor acts.
+def watchdog_timeout(position: int) -> float:
+    """Return how long a group may be stalled before a successor acts.
 
     Args:
-        place: Place in the order of succession; 0 is the coordinator.
+        position: Position in the order of succession; 0 is the coordinator.
     """
-    return STUCK_SECONDS + WATCHDOG_SECONDS * place
+    return STALL_TIMEOUT_SECONDS + SUCCESSOR_DELAY_SECONDS * position
 
 
-class StallWatch:
-    """When a group was last managed begin a step."""
+class StallDetector:
+    """Detects that a group has begun no step for some time."""
 
     def __init__(self) -> None:
         self._step = -1
         self._running = 0
-        self._moved_at: Instant = 0.0
+        self._last_progress_at: Instant = 0.0
 
-    def note(self, step: int, running: int, now: Instant) -> None:
-        """Note a report's last step and its requests."""
+    def record_step(self, step: int, running: int, now: Instant) -> None:
+        """Record the last step and the running requests of a report."""
         if step != self._step or not running or not self._running:
-            self._moved_at = now
+            self._last_progress_at = now
         self._step = step
         self._running = running
 
-    def is_stuck(self, now: Instant, timeout: float = STUCK_SECONDS) -> bool:
-        """Return whether the group stands still although it has work."""
-        return self._running > 0 and now - self._moved_at > timeout
+    def is_stuck(self, now: Instant, timeout: float = STALL_TIMEOUT_SECONDS) -> bool:
+        """Return whether the group is stalled although it has work."""
+        return self._running > 0 and now - self._last_progress_at > timeout
--- a/mintsaddle/decisions/expert_maps/_switch.py
+++ b/mintsaddle/decisions/expert_maps/_switch.py
@@ -1,21 +1,23 @@
-"""Changing a group's map so that no step ever mixes two maps.
-
-In lock-step, holding one rank holds all. So the map is staged on all ranks in
-the background; all are held; when all stand before the same step it is
-activated and read back; and only when all have it are they released. Until
-the last release no step can run.
-
-A rank may be *inside* step T, waiting for the others, when another one is
-held before T. Activating then would mix. So a hold names no step of its own:
-the readings tell the last step T that any rank has entered, those before it
-are let run T on the old map, and the map is activated only when all stand
-before T + 1.
-
-Every order carries a ballot, and the run of the rank's daemon that it is
-meant for. A later round first reads every rank. It goes on to the newest map
-that any rank has activated, since that one was staged everywhere; with none,
-the old map stays. Nothing is ever released before all ranks have answered in
-this round, so two coordinators at once are only slow.
+"""State machine that switches a group's map without mixing maps in a step.
+
+The ranks run in lock-step, so holding one rank holds all. The map is staged on
+all ranks in the background. Then all ranks are held, and once all have stopped
+before the same step, the map is activated and read back. The ranks are
+released only when all of them have it active. No step can run until the last
+rank is released.
+
+A rank may already be *inside* step T, waiting for the others, when another
+rank is held before T. Activating the map then would mix maps in T. So the
+first hold names no step. The readings show the last step T that any rank has
+entered; ranks before T are allowed to run it with the old map, and the new map
+is activated only when all ranks have stopped before T + 1.
+
+Every order carries a ballot and identifies the run of the rank's daemon that
+it is addressed to. A later round first reads every rank. It continues with the
+newest map that any rank has activated, since that map was staged on all ranks;
+if there is none, the old map stays. No rank is released before all ranks have
+answered in the same round, so two concurrent coordinators only slow each other
+down.
 """
 
 import enum
@@ -27,22 +29,22 @@
 
 
 class GroupAct(enum.Enum):
-    """What a rank is to do."""
+    """Operations that a rank can be ordered to perform."""
 
     READ = "read"
-    """Tell where it stands."""
+    """Report the state of the engine."""
 
     STAGE = "stage"
-    """Load a map's weights beside the active ones."""
+    """Load a map's weights in addition to the active ones."""
 
     HOLD = "hold"
-    """Enter no step from `limit` on; 0 enters none at all."""
+    """Enter no step from `limit` on; with 0, enter no step at all."""
 
     ACTIVATE = "activate"
-    """Make a staged or previous map the active one."""
+    """Make a staged or previous map active."""
 
     RELEASE = "release"
-    """Step on."""
+    """Resume stepping."""
 
 
 class GroupOrder(NamedTuple):
@@ -50,22 +52,22 @@
 
     ballot: int
     sequence: int
-    """Counts a round's phases; a late order of an earlier one is refused."""
+    """Phases entered in the round; orders of earlier phases are refused."""
 
     rank: int
     boot: Boot
-    """The run of the rank's daemon that is meant; 0 for a reading."""
+    """Run of the rank's daemon that is addressed; 0 for a reading."""
 
     act: GroupAct
     version: int = 0
     """The map to stage or to activate."""
 
     limit: int = 0
-    """First step that a hold forbids."""
+    """First step that a hold prevents."""
 
 
 class RankReading(NamedTuple):
-    """Where a rank's engine stands."""
+    """State read back from a rank's engine."""
 
     active: int
     """Version of the active map."""
@@ -74,14 +76,14 @@
     """Version of the staged map; 0 if none."""
 
     previous: int
-    """Version that was active before and is kept; 0 if none."""
+    """Previously active version that is kept; 0 if none."""
 
     held: bool
     entered: int
-    """The last step that it has entered."""
+    """The last step that the rank has entered."""
 
     completed: int
-    """The last step that it has completed."""
+    """The last step that the rank has completed."""
 
 
 class RankReply(NamedTuple):
@@ -89,10 +91,10 @@
 
     order: GroupOrder
     boot: Boot
-    """The run of the rank's daemon that answers."""
+    """Run of the rank's daemon that answers."""
 
     ballot: int
-    """The highest ballot that it has seen."""
+    """The highest ballot that the daemon has seen."""
 
     obeyed: bool
     """Whether the order was carried out, as read back."""
@@ -102,7 +104,7 @@
 
 
 class SwitchPhase(enum.Enum):
-    """How far a round is."""
+    """Phase of a round."""
 
     READING = "reading"
     STAGING = "staging"
@@ -112,10 +114,10 @@
     RELEASING = "releasing"
     DONE = "done"
     LOST = "lost"
-    """A higher ballot was met."""
+    """Preempted by a higher ballot."""
 
 
-_NEXT = {
+_NEXT_PHASE = {
     SwitchPhase.READING: SwitchPhase.STAGING,
     SwitchPhase.STAGING: SwitchPhase.HOLDING,
     SwitchPhase.HOLDING: SwitchPhase.ALIGNING,
@@ -125,8 +127,8 @@
 }
 
 
-class SwitchState:
-    """One round of one coordinator."""
+class SwitchRound:
+    """State of one round of a coordinator."""
 
     def __init__(self, ballot: int, ranks: int, wanted: ExpertMap | None) -> None:
         self._ballot = ballot
@@ -143,32 +145,32 @@
 
     @property
     def ballot(self) -> int:
-        """The round's ballot."""
+        """Ballot of the round."""
         return self._ballot
 
     @property
     def ranks(self) -> int:
-        """Ranks of the group."""
+        """Number of ranks in the group."""
         return self._ranks
 
     @property
     def wanted(self) -> int:
-        """The version that this round would like; 0 to only mend."""
+        """Requested version; 0 to only finish an interrupted round."""
         return self._wanted
 
     @property
     def target(self) -> int:
-        """The version that all ranks are brought to."""
+        """The version to activate on all ranks."""
         return self._target
 
     @property
     def phase(self) -> SwitchPhase:
-        """How far it is."""
+        """Current phase."""
         return self._phase
 
     @property
     def sequence(self) -> int:
-        """Counts the phases that were entered."""
+        """Number of phases entered so far."""
         return self._sequence
 
     @property
@@ -178,7 +180,7 @@
 
     @property
     def boots(self) -> Mapping[int, Boot]:
-        """The run of each rank's daemon, as read."""
+        """Run of each rank's daemon, as last read."""
         return self._boots
 
     @property
@@ -188,50 +190,50 @@
 
     @property
     def answered(self) -> frozenset[int]:
-        """Ranks that are through with this phase."""
+        """Ranks that have completed the current phase."""
         return frozenset(self._answered)
 
     @property
     def failed(self) -> bool:
-        """Whether the wanted map was given up in this round."""
+        """Whether this round abandoned the requested map."""
         return self._failed
 
-    def put_reading(self, rank: int, boot: Boot, reading: RankReading) -> None:
-        """Remember where a rank stands."""
+    def record_reading(self, rank: int, boot: Boot, reading: RankReading) -> None:
+        """Record the state of a rank."""
         self._boots[rank] = boot
         self._readings[rank] = reading
 
     def mark_answered(self, rank: int) -> None:
-        """Note that a rank is through with this phase."""
+        """Record that a rank has completed the current phase."""
         self._answered.add(rank)
 
-    def enter(self, phase: SwitchPhase) -> None:
-        """Go to a phase in which nobody has answered yet."""
+    def enter_phase(self, phase: SwitchPhase) -> None:
+        """Enter a phase; no rank has completed it yet."""
         self._phase = phase
         self._sequence += 1
         self._answered = set()
 
-    def choose(self, target: int) -> None:
-        """Set the version that all are brought to."""
+    def set_target(self, target: int) -> None:
+        """Set the version to activate on all ranks."""
         self._target = target
 
-    def give_up_wanted(self, target: int) -> None:
-        """Go back to a map that all ranks still have."""
+    def fall_back_to(self, target: int) -> None:
+        """Abandon the requested map for one that all ranks still have."""
         self._failed = True
         self._target = target
 
-    def forbid_from(self, limit: int) -> None:
+    def set_limit(self, limit: int) -> None:
         """Set the first step that no rank may enter."""
         self._limit = limit
 
 
-def start_switch(ballot: int, ranks: int, wanted: ExpertMap | None) -> SwitchState:
-    """Begin a round: to a wanted map, or only to mend what a lost one left."""
-    return SwitchState(ballot, ranks, wanted)
+def start_round(ballot: int, ranks: int, wanted: ExpertMap | None) -> SwitchRound:
+    """Start a round that switches maps or finishes an interrupted round."""
+    return SwitchRound(ballot, ranks, wanted)
 
 
-def next_orders(state: SwitchState) -> tuple[GroupOrder, ...]:
-    """Return the orders to send now, to the ranks that aren't through yet."""
+def next_orders(state: SwitchRound) -> tuple[GroupOrder, ...]:
+    """Return the orders for all ranks that haven't completed the phase."""
     return tuple(
         _make_order(state, rank)
         for rank in range(state.ranks)
@@ -240,38 +242,39 @@
     )
 
 
-def record_reply(state: SwitchState, reply: RankReply) -> None:
-    """Take in a reply; a late one of another phase or round is ignored."""
+def record_reply(state: SwitchRound, reply: RankReply) -> None:
+    """Process a reply; late replies to other phases or rounds are ignored."""
     if reply.ballot > state.ballot:
-        state.enter(SwitchPhase.LOST)
+        state.enter_phase(SwitchPhase.LOST)
         return
     rank = reply.order.rank
     if reply.order != _make_order(state, rank) or rank in state.answered:
         return
     if state.phase is not SwitchPhase.READING and reply.boot != state.boots[rank]:
-        # The rank's daemon has restarted: what it was told is forgotten, so
-        # the round begins anew. Nothing has been released in it.
-        state.enter(SwitchPhase.READING)
+        # The rank's daemon has restarted and lost its orders, so the round
+        # starts over. That is safe, since ranks are released only after all
+        # have answered.
+        state.enter_phase(SwitchPhase.READING)
         return
     if reply.reading is None:
         return
     if not reply.obeyed and state.phase is not SwitchPhase.READING:
-        _meet_refusal(state)
+        _handle_refusal(state)
         return
-    state.put_reading(rank, reply.boot, reply.reading)
-    if not _is_through(state, reply.reading):
+    state.record_reading(rank, reply.boot, reply.reading)
+    if not _has_completed_phase(state, reply.reading):
         return
     state.mark_answered(rank)
     if len(state.answered) == state.ranks:
         _advance(state)
 
 
-def _make_order(state: SwitchState, rank: int) -> GroupOrder:
+def _make_order(state: SwitchRound, rank: int) -> GroupOrder:
     boot = state.boots.get(rank, 0)
     order = GroupOrder(state.ballot, state.sequence, rank, boot, GroupAct.READ)
     match state.phase:
         case SwitchPhase.STAGING:
-            if _has(state.readings[rank], state.target):
+            if _has_map(state.readings[rank], state.target):
                 return order
             return order._replace(act=GroupAct.STAGE, version=state.target)
         case SwitchPhase.HOLDING:
@@ -285,10 +288,10 @@
     return order._replace(boot=0)
 
 
-def _is_through(state: SwitchState, reading: RankReading) -> bool:
+def _has_completed_phase(state: SwitchRound, reading: RankReading) -> bool:
     match state.phase:
         case SwitchPhase.STAGING:
-            return _has(reading, state.target)
+            return _has_map(reading, state.target)
         case SwitchPhase.HOLDING:
             return reading.held
         case SwitchPhase.ALIGNING:
@@ -300,49 +303,49 @@
     return True
 
 
-def _has(reading: RankReading, version: int) -> bool:
+def _has_map(reading: RankReading, version: int) -> bool:
     return version in (reading.active, reading.staged, reading.previous)
 
 
-def _advance(state: SwitchState) -> None:
+def _advance(state: SwitchRound) -> None:
     phase = state.phase
     if phase is SwitchPhase.READING:
         _choose_target(state)
         return
     if phase is SwitchPhase.HOLDING:
         entered = max(reading.entered for reading in state.readings.values())
-        state.forbid_from(entered + 1)
-    state.enter(_NEXT[phase])
+        state.set_limit(entered + 1)
+    state.enter_phase(_NEXT_PHASE[phase])
 
 
-def _choose_target(state: SwitchState) -> None:
-    """Choose what all are brought to, once every rank was read."""
+def _choose_target(state: SwitchRound) -> None:
+    """Choose the version to activate after all ranks were read."""
     active = {reading.active for reading in state.readings.values()}
     held = any(reading.held for reading in state.readings.values())
     if len(active) > 1:
-        state.choose(max(active))
+        state.set_target(max(active))
     elif state.wanted and not state.failed:
-        state.choose(state.wanted)
+        state.set_target(state.wanted)
     else:
-        state.choose(max(active))
+        state.set_target(max(active))
         if not held:
-            state.enter(SwitchPhase.DONE)
+            state.enter_phase(SwitchPhase.DONE)
             return
-    state.enter(SwitchPhase.STAGING)
+    state.enter_phase(SwitchPhase.STAGING)
 
 
-def _meet_refusal(state: SwitchState) -> None:
-    """A rank can't stage or activate: go back to a map that all still have."""
+def _handle_refusal(state: SwitchRound) -> None:
+    """Fall back to a common map when a rank can't stage or activate."""
     readings = state.readings.values()
     common = [
         version
         for version in sorted({reading.active for reading in readings}, reverse=True)
         if version != state.target
-        and all(_has(reading, version) for reading in readings)
+        and all(_has_map(reading, version) for reading in readings)
     ]
     if common and state.phase is SwitchPhase.STAGING:
-        state.give_up_wanted(common[0])
-        state.enter(SwitchPhase.READING)
+        state.fall_back_to(common[0])
+        state.enter_phase(SwitchPhase.READING)
     elif common and state.phase is SwitchPhase.ACTIVATING:
-        state.give_up_wanted(common[0])
-        state.enter(SwitchPhase.ACTIVATING)
+        state.fall_back_to(common[0])
+        state.enter_phase(SwitchPhase.ACTIVATING)
--- a/mintsaddle/decisions/expert_maps/_watch.py
+++ b/mintsaddle/decisions/expert_maps/_watch.py
@@ -16,7 +16,7 @@
     slowest_share,
     spread_experts,
 )
-from mintsaddle.decisions.expert_maps._stall import StallWatch
+from mintsaddle.decisions.expert_maps._stall import StallDetector
 from mintsaddle.values import Instant
 
 BUSY_SHARE = 0.25
@@ -83,7 +83,7 @@
         # With a pause of 0 an idle group would count as busy.
         self._longest_pause = longest_pause or USUAL_PAUSE
         self._steps: deque[tuple[Instant, int]] = deque()
-        self._stall = StallWatch()
+        self._stall = StallDetector()
         self._running = 0
         self._last_counts: dict[int, Popularity] = {}
         self._fresh = _zeros(layers, experts)
@@ -131,7 +131,7 @@
         """Note a report's step and requests."""
         if not running or not self._running:
             self._steps.clear()
-        self._stall.note(step, running, now)
+        self._stall.record_step(step, running, now)
         if not self._steps or step != self._steps[-1][1]:
             self._steps.append((now, step))
         while len(self._steps) > 2 and self._steps[1][0] <= now - STEP_SECONDS:
--- a/mintsaddle/decisions/expert_maps/tests/test_armed_switch.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_armed_switch.py
@@ -7,26 +7,26 @@
 import pytest
 
 from mintsaddle.decisions.expert_maps import (
-    OVER,
+    TERMINAL_STAGES,
     ArmedSwitch,
     ExpertMap,
     MapOrder,
     OrderAct,
+    OrderOutcome,
     RankReport,
     SwitchStage,
-    Verdict,
     _armed_begin,
     _armed_switch,
     begin_switch,
     choose_step,
     hold_at,
     make_first_map,
-    must_read_first,
+    needs_fresh_reports,
     next_map_orders,
     ranks_to_read,
     record_answers,
     record_reports,
-    withdraw_held,
+    roll_back_held_switch,
 )
 from mintsaddle.decisions.expert_maps._maps import LayerSlots
 
@@ -50,43 +50,43 @@
         self.armed: tuple[int, int] | None = None
         self.held: int | None = None
 
-    def obey(self, order: MapOrder, epoch: int, step: int) -> Verdict:
+    def execute(self, order: MapOrder, epoch: int, step: int) -> OrderOutcome:
         if order.epoch != epoch:
-            return Verdict.REFUSED
+            return OrderOutcome.REFUSED
         # A hold that stood before is answered like one that stands from now.
         match order.act:
             case OrderAct.PREPARE:
                 ready = (self.prepared, self.prepared_layers)
                 if ready == (order.version, order.layers):
-                    return Verdict.DONE
+                    return OrderOutcome.DONE
                 if order.version <= self.highest or self.armed:
-                    return Verdict.REFUSED
+                    return OrderOutcome.REFUSED
                 self.highest = self.prepared = order.version
                 self.prepared_layers = order.layers
             case OrderAct.HOLD:
                 if self.held == order.step:
-                    return Verdict.DONE
+                    return OrderOutcome.DONE
                 if step >= order.step or self.held is not None:
-                    return Verdict.REFUSED
+                    return OrderOutcome.REFUSED
                 self.held = order.step
             case OrderAct.ARM:
                 if self.armed == (order.version, order.step):
-                    return Verdict.DONE
+                    return OrderOutcome.DONE
                 if self.prepared != order.version or step >= order.step:
-                    return Verdict.REFUSED
+                    return OrderOutcome.REFUSED
                 self.armed = (order.version, order.step)
             case OrderAct.DISARM:
                 if self.version == order.version:
-                    return Verdict.REFUSED
+                    return OrderOutcome.REFUSED
                 if self.armed is None or self.armed[0] != order.version:
-                    return Verdict.DONE
+                    return OrderOutcome.DONE
                 self.armed = None
             case OrderAct.RELEASE:
                 if self.held != order.step:
-                    return Verdict.REFUSED
+                    return OrderOutcome.REFUSED
                 self.held = None
         begun = order.act is OrderAct.PREPARE
-        return Verdict.BEGUN if begun else Verdict.DONE
+        return OrderOutcome.BEGUN if begun else OrderOutcome.DONE
 
 
 class Group:
@@ -96,7 +96,7 @@
         self.engines = [Engine() for _ in range(RANKS)]
         self.epoch = 1
         self.step = 1
-        self.late: list[MapOrder] = []
+        self.delayed: list[MapOrder] = []
 
     def begin_step(self) -> None:
         """Begin the next step, unless it is held; change maps that are due."""
@@ -112,13 +112,13 @@
         maps = {(engine.version, engine.layers) for engine in self.engines}
         assert len(maps) == 1, f"step {upcoming} begins with maps {maps}"
 
-    def form_anew(self) -> None:
+    def form_again(self) -> None:
         """A rank died and is back: the first map, nothing armed or held."""
         self.epoch += 1
         self.engines = [Engine() for _ in range(RANKS)]
 
-    def obey(self, order: MapOrder) -> Verdict:
-        return self.engines[order.rank].obey(order, self.epoch, self.step)
+    def execute(self, order: MapOrder) -> OrderOutcome:
+        return self.engines[order.rank].execute(order, self.epoch, self.step)
 
     def report(self, rank: int) -> RankReport:
         engine = self.engines[rank]
@@ -136,7 +136,7 @@
         )
 
 
-class Story:
+class Simulation:
     """A group, coordinators and a network, moved on by one random source."""
 
     def __init__(self, seed: int) -> None:
@@ -144,22 +144,22 @@
         self.group = Group()
         self.switches: list[ArmedSwitch | None] = [None, None]
         # After a power cut each entry takes itself for the coordinator.
-        self.share_of_second = self.rng.choice([0.2, 0.5])
-        self.eagerness_of_second = self.rng.choice([0.1, 0.5])
-        self.loss = self.rng.choice([0.0, 0.1, 0.4])
-        self.late_share = self.rng.choice([0.0, 0.3])
+        self.second_coordinator_share = self.rng.choice([0.2, 0.5])
+        self.second_begin_probability = self.rng.choice([0.1, 0.5])
+        self.loss_probability = self.rng.choice([0.0, 0.1, 0.4])
+        self.delay_probability = self.rng.choice([0.0, 0.3])
 
     def run(self, events: int) -> int:
         """Play some events; return how many switches went through."""
         done = 0
         for _ in range(events):
-            index = 1 if self.rng.random() < self.share_of_second else 0
+            index = 1 if self.rng.random() < self.second_coordinator_share else 0
             switch = self.switches[index]
-            if switch is None or switch.stage in OVER:
+            if switch is None or switch.stage in TERMINAL_STAGES:
                 self._begin(index)
             else:
-                self._move_on(index, switch)
-            self._disturb()
+                self._advance_switch(index, switch)
+            self._inject_faults()
             moved = self.switches[index]
             if moved is not None and moved.stage is SwitchStage.DONE:
                 done += 1
@@ -168,62 +168,62 @@
 
     def _begin(self, index: int) -> None:
         reports = [self.group.report(rank) for rank in range(RANKS)]
-        held = withdraw_held(FIRST_MAP, reports, 0.0, self.rng)
+        held = roll_back_held_switch(FIRST_MAP, reports, 0.0, self.rng)
         if held is not None and self.rng.random() < 0.3:
             self.switches[index] = held
         elif held is None and self.rng.random() < (
-            0.5 if index == 0 else self.eagerness_of_second
+            0.5 if index == 0 else self.second_begin_probability
         ):
             version = _armed_begin.draw_version(reports, self.rng)
             new_map = ExpertMap(version, MAPS[index])
             self.switches[index] = begin_switch(FIRST_MAP, new_map, reports, now=0.0)
 
-    def _move_on(self, index: int, switch: ArmedSwitch) -> None:
+    def _advance_switch(self, index: int, switch: ArmedSwitch) -> None:
         if switch.stage is SwitchStage.HOLD and not switch.step:
             switch = hold_at(switch, choose_step([self.group.report(0)], 1.0))
-        if must_read_first(switch):
+        if needs_fresh_reports(switch):
             reports = [self.group.report(rank) for rank in ranks_to_read(switch)]
             switch = record_reports(switch, reports, now=0.0)
         answers = {order: self._send(order) for order in next_map_orders(switch)}
         switch = record_answers(switch, answers, now=0.0)
-        if {Verdict.UNKNOWN, Verdict.REFUSED} & set(answers.values()) or (
+        if {OrderOutcome.UNKNOWN, OrderOutcome.REFUSED} & set(answers.values()) or (
             not answers or switch.stage is SwitchStage.PREPARE
         ):
             reports = [self.group.report(rank) for rank in ranks_to_read(switch)]
             switch = record_reports(switch, reports, now=0.0)
         self.switches[index] = switch
 
-    def _send(self, order: MapOrder) -> Verdict:
+    def _send(self, order: MapOrder) -> OrderOutcome:
         """Send an order: it may be lost, carried out late, or not answered."""
-        if self.rng.random() >= self.loss:
-            return self.group.obey(order)
-        fate = self.rng.random()
-        if fate < self.late_share:
-            self.group.late.append(order)
-        elif fate < 0.7:
-            self.group.obey(order)
-        return Verdict.UNKNOWN
-
-    def _disturb(self) -> None:
-        if self.group.late and self.rng.random() < 0.1:
-            late = self.group.late
-            self.group.obey(late.pop(self.rng.randrange(len(late))))
+        if self.rng.random() >= self.loss_probability:
+            return self.group.execute(order)
+        roll = self.rng.random()
+        if roll < self.delay_probability:
+            self.group.delayed.append(order)
+        elif roll < 0.7:
+            self.group.execute(order)
+        return OrderOutcome.UNKNOWN
+
+    def _inject_faults(self) -> None:
+        if self.group.delayed and self.rng.random() < 0.1:
+            late = self.group.delayed
+            self.group.execute(late.pop(self.rng.randrange(len(late))))
         if self.rng.random() < 0.5:
             self.group.begin_step()
         if self.rng.random() < 0.005:
-            self.group.form_anew()
+            self.group.form_again()
         if self.rng.random() < 0.02:
             # A coordinator dies.
             self.switches[self.rng.randrange(2)] = None
 
 
-def play(seeds: int = 600) -> int:
-    return sum(Story(seed).run(150) for seed in range(seeds))
+def run_simulations(seeds: int = 600) -> int:
+    return sum(Simulation(seed).run(150) for seed in range(seeds))
 
 
 def release_with_one_missing(switch: ArmedSwitch, now: float) -> ArmedSwitch:
-    if switch.stage is SwitchStage.ARM and len(switch.settled) >= RANKS - 1:
-        switch = switch._replace(settled=frozenset(range(RANKS)))
+    if switch.stage is SwitchStage.ARM and len(switch.completed_ranks) >= RANKS - 1:
+        switch = switch._replace(completed_ranks=frozenset(range(RANKS)))
     return ADVANCE(switch, now)
 
 
@@ -236,42 +236,46 @@
 
 def arm_without_a_hold(switch: ArmedSwitch, now: float) -> ArmedSwitch:
     if switch.stage is SwitchStage.HOLD and switch.step:
-        holders = switch.holders | {switch.holder}
-        switch = switch._replace(holders=holders)
+        held_ranks = switch.held_ranks | {switch.hold_rank}
+        switch = switch._replace(held_ranks=held_ranks)
     return ADVANCE(switch, now)
 
 
 ADVANCE = _armed_switch._advance
-PERMISSIVE = [release_with_one_missing, release_without_a_fence, arm_without_a_hold]
+UNSAFE_ADVANCES = [
+    release_with_one_missing,
+    release_without_a_fence,
+    arm_without_a_hold,
+]
 
 
 def draw_next_number(
     reports: Sequence[RankReport], rng: random.Random, above: int = 0
 ) -> int:
     del rng, above
-    told = [(r.version, r.prepared or 0, r.armed or 0) for r in reports]
-    return max(max(versions) for versions in told) + 1
+    reported = [(r.version, r.prepared or 0, r.armed or 0) for r in reports]
+    return max(max(versions) for versions in reported) + 1
 
 
-def take_any_higher_version_for_a_fence(
+def accept_any_higher_version(
     switch: ArmedSwitch, rank: int, prepared: int
 ) -> ArmedSwitch:
     del prepared
-    return _armed_switch._settle(switch, rank)
+    return _armed_switch._mark_completed(switch, rank)
 
 
 class TestArmedSwitch:
     def test_no_step_begins_with_two_maps(self) -> None:
         """Guards against a release before all ranks are armed."""
-        assert play() > 600
+        assert run_simulations() > 600
 
-    @pytest.mark.parametrize("variant", PERMISSIVE)
+    @pytest.mark.parametrize("variant", UNSAFE_ADVANCES)
     def test_each_guard_is_needed(
         self, variant: Advance, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(_armed_switch, "_advance", variant)
         with pytest.raises(AssertionError, match="begins with maps"):
-            play()
+            run_simulations()
 
     def test_coordinators_may_not_draw_the_same_version(
         self, monkeypatch: pytest.MonkeyPatch
@@ -279,24 +283,22 @@
         """Guards against two coordinators that share a version."""
         monkeypatch.setattr(_armed_begin, "draw_version", draw_next_number)
         with pytest.raises(AssertionError, match="begins with maps"):
-            play()
+            run_simulations()
 
     def test_a_hold_may_be_shared_by_two_coordinators(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against a withdrawal that releases another one's hold."""
-        monkeypatch.setattr(
-            _armed_switch, "_record_fenced", take_any_higher_version_for_a_fence
-        )
+        monkeypatch.setattr(_armed_switch, "_record_fenced", accept_any_higher_version)
         with pytest.raises(AssertionError, match="begins with maps"):
-            play(6000)
+            run_simulations(6000)
 
     def test_a_switch_is_given_up_once_another_one_is_ahead(self) -> None:
         """Guards against a coordinator that waits for a lost race."""
         group = Group()
         reports = [group.report(rank) for rank in range(RANKS)]
         switch = begin_switch(FIRST_MAP, ExpertMap(5, MAPS[0]), reports, now=0.0)
-        answers = dict.fromkeys(next_map_orders(switch), Verdict.BEGUN)
+        answers = dict.fromkeys(next_map_orders(switch), OrderOutcome.BEGUN)
         switch = record_answers(switch, answers, now=0.0)
         for engine in group.engines:
             engine.highest = engine.prepared = 9
@@ -316,7 +318,7 @@
         reports = [group.report(rank) for rank in range(RANKS)]
         switch = begin_switch(FIRST_MAP, ExpertMap(5, MAPS[0]), reports, now=0.0)
         for stage in (SwitchStage.PREPARE, SwitchStage.HOLD):
-            answers = {order: group.obey(order) for order in next_map_orders(switch)}
+            answers = {order: group.execute(order) for order in next_map_orders(switch)}
             switch = record_answers(switch, answers, now=0.0)
             assert switch.stage is stage
 
@@ -328,7 +330,7 @@
         for _ in range(10):
             if switch.stage is SwitchStage.HOLD and not switch.step:
                 switch = hold_at(switch, choose_step([group.report(0)], 1.0))
-            answers = {order: group.obey(order) for order in next_map_orders(switch)}
+            answers = {order: group.execute(order) for order in next_map_orders(switch)}
             switch = record_answers(switch, answers, now=0.0)
             reports = [group.report(rank) for rank in ranks_to_read(switch)]
             switch = record_reports(switch, reports, now=0.0)
@@ -346,9 +348,9 @@
         group.begin_step()
         group.begin_step()
         reports = [group.report(rank) for rank in range(RANKS)]
-        withdrawal = withdraw_held(FIRST_MAP, reports, 0.0, random.Random(1))
+        withdrawal = roll_back_held_switch(FIRST_MAP, reports, 0.0, random.Random(1))
         assert withdrawal is not None
-        answers = {order: group.obey(order) for order in next_map_orders(withdrawal)}
+        answers = {order: group.execute(order) for order in next_map_orders(withdrawal)}
         withdrawal = record_answers(withdrawal, answers, now=0.0)
         assert withdrawal.stage is SwitchStage.FENCE
 
@@ -367,10 +369,10 @@
         group.engines[0].held = 2
         reports = [group.report(rank) for rank in range(RANKS)]
         drawn = {
-            withdrawal.holder
+            withdrawal.hold_rank
             for seed in range(20)
             if (
-                withdrawal := withdraw_held(
+                withdrawal := roll_back_held_switch(
                     FIRST_MAP, reports, 0.0, random.Random(seed)
                 )
             )
@@ -385,11 +387,13 @@
             engine.armed = (4, 3)
         group.engines[2].held = 4
         reports = [group.report(rank) for rank in range(RANKS)]
-        assert withdraw_held(FIRST_MAP, reports, 0.0, random.Random(1)) is None
+        assert roll_back_held_switch(FIRST_MAP, reports, 0.0, random.Random(1)) is None
         group.begin_step()
         group.begin_step()
         reports = [group.report(rank) for rank in range(RANKS)]
-        assert withdraw_held(FIRST_MAP, reports, 0.0, random.Random(1)) is not None
+        assert (
+            roll_back_held_switch(FIRST_MAP, reports, 0.0, random.Random(1)) is not None
+        )
 
     def test_a_held_group_is_freed_by_another_coordinator(self) -> None:
         """Guards against a group held by an entry that is gone."""
@@ -404,10 +408,10 @@
 
         late_arm = MapOrder(0, OrderAct.ARM, group.epoch, 4, 3)
         reports = [group.report(rank) for rank in range(RANKS)]
-        switch = withdraw_held(FIRST_MAP, reports, 0.0, random.Random(1))
+        switch = roll_back_held_switch(FIRST_MAP, reports, 0.0, random.Random(1))
         assert switch is not None
-        while switch.stage not in OVER:
-            answers = {order: group.obey(order) for order in next_map_orders(switch)}
+        while switch.stage not in TERMINAL_STAGES:
+            answers = {order: group.execute(order) for order in next_map_orders(switch)}
             switch = record_answers(switch, answers, now=0.0)
             reports = [group.report(rank) for rank in ranks_to_read(switch)]
             switch = record_reports(switch, reports, now=0.0)
@@ -415,4 +419,4 @@
 
         assert group.step == 3
         assert [engine.version for engine in group.engines] == [0] * RANKS
-        assert group.obey(late_arm) is Verdict.REFUSED
+        assert group.execute(late_arm) is OrderOutcome.REFUSED
--- a/mintsaddle/decisions/expert_maps/tests/test_stall.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_stall.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mintsaddle.decisions.expert_maps import StallWatch, watchdog_timeout
+from mintsaddle.decisions.expert_maps import StallDetector, watchdog_timeout
 
 
 class TestStallWatch:
@@ -20,15 +20,15 @@
     def test_only_a_group_with_work_can_stand_still(
         self, reports: list[tuple[int, int, float]], is_stuck: bool
     ) -> None:
-        watch = StallWatch()
+        watch = StallDetector()
         for step, running, now in reports:
-            watch.note(step, running, now)
+            watch.record_step(step, running, now)
         assert watch.is_stuck(reports[-1][2]) == is_stuck
 
 
 class TestGuards:
     def test_a_group_is_freed_before_callers_leave(self) -> None:
         """Guards against a hold that outlasts its callers' patience."""
-        timeout = [watchdog_timeout(place) for place in range(3)]
+        timeout = [watchdog_timeout(position) for position in range(3)]
         assert timeout == sorted(set(timeout))
         assert timeout[-1] < 1.5
--- a/mintsaddle/decisions/expert_maps/tests/test_switch_machine.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_switch_machine.py
@@ -23,17 +23,17 @@
     ExpertMap,
     GroupAct,
     GroupOrder,
+    OrderDecision,
     RankReading,
     RankReply,
     RankState,
-    RankVerdict,
     SwitchPhase,
-    SwitchState,
+    SwitchRound,
     _ranks,
     _switch,
     next_orders,
     record_reply,
-    start_switch,
+    start_round,
 )
 from mintsaddle.decisions.expert_maps._ranks import ORDER_TIMEOUT
 
@@ -54,7 +54,7 @@
         self.entered_map = 0
         self.refuses_staging = False
 
-    def obey(self, order: GroupOrder) -> bool:
+    def execute(self, order: GroupOrder) -> bool:
         """Carry an order out."""
         match order.act:
             case GroupAct.STAGE:
@@ -103,11 +103,11 @@
         self.boots = RANKS
         self.engines = [FakeRank() for _ in range(RANKS)]
         self.daemons = [RankState(n + 1, 0.0) for n in range(RANKS)]
-        self.rounds: list[SwitchState | None] = [None, None]
+        self.rounds: list[SwitchRound | None] = [None, None]
         self.orders: list[GroupOrder] = []
         self.replies: list[RankReply] = []
         self.ballots = 10
-        self.mixed: list[tuple[int, list[int]]] = []
+        self.mixed_steps: list[tuple[int, list[int]]] = []
 
     @rule(rank=st.integers(0, RANKS - 1))
     def enter(self, rank: int) -> None:
@@ -121,7 +121,7 @@
             return
         maps = [e.entered_map for e in self.engines]
         if len(set(maps)) > 1:
-            self.mixed.append((engine.entered, maps))
+            self.mixed_steps.append((engine.entered, maps))
         for other in self.engines:
             other.completed = other.entered
 
@@ -136,7 +136,7 @@
         """Start a coordinator's round, to a new map or only to mend."""
         self.ballots += 1
         wanted = ExpertMap(self.ballots, ()) if wants else None
-        self.rounds[which] = start_switch(self.ballots, RANKS, wanted)
+        self.rounds[which] = start_round(self.ballots, RANKS, wanted)
 
     @rule(which=st.integers(0, 1))
     def send(self, which: int) -> None:
@@ -153,10 +153,10 @@
         order = self.orders[-1 - back]
         daemon = self.daemons[order.rank]
         engine = self.engines[order.rank]
-        verdict = _ranks.judge_order(daemon, order, self.now)
-        obeyed = verdict is not RankVerdict.REFUSE
-        if verdict is RankVerdict.OBEY:
-            obeyed = engine.obey(order)
+        decision = _ranks.check_order(daemon, order, self.now)
+        obeyed = decision is not OrderDecision.REFUSE
+        if decision is OrderDecision.OBEY:
+            obeyed = engine.execute(order)
         reply = RankReply(order, daemon.boot, daemon.ballot, obeyed, engine.read())
         self.replies.append(reply)
 
@@ -172,7 +172,7 @@
         times=st.integers(1, 4),
         silent=st.sampled_from([None, *range(RANKS)]),
     )
-    def converse(self, which: int, times: int, silent: int | None) -> None:
+    def exchange(self, which: int, times: int, silent: int | None) -> None:
         """Let a coordinator talk with all ranks but one for a while."""
         current = self.rounds[which]
         for _ in range(times):
@@ -190,7 +190,7 @@
         self.daemons[rank] = RankState(self.boots, self.now)
 
     @rule(rank=st.integers(0, RANKS - 1), refuses=st.booleans())
-    def fill_memory(self, rank: int, refuses: bool) -> None:
+    def set_staging_refusal(self, rank: int, refuses: bool) -> None:
         """Let a rank run out of memory for staging, or recover."""
         self.engines[rank].refuses_staging = refuses
 
@@ -202,7 +202,7 @@
     @invariant()
     def one_map_in_each_step(self) -> None:
         """No completed step mixed two maps."""
-        assert not self.mixed, f"steps mixed maps: {self.mixed}"
+        assert not self.mixed_steps, f"steps mixed maps: {self.mixed_steps}"
 
     def teardown(self) -> None:
         """Once all is well again, the group ends on one map and steps on."""
@@ -212,14 +212,14 @@
         self.start_round(0, False)
         for _ in range(40):
             self.step()
-            self.converse(0, 1, None)
+            self.exchange(0, 1, None)
         before = self.engines[0].completed
         self.step()
         shown = [engine.read() for engine in self.engines]
         assert len({engine.active for engine in self.engines}) == 1, shown
         assert all(engine.limit is None for engine in self.engines), shown
         assert self.engines[0].completed > before, shown
-        assert not self.mixed
+        assert not self.mixed_steps
 
 
 def run_machine(examples: int, steps: int) -> None:
@@ -245,14 +245,14 @@
     machine = SwitchMachine()
     machine.enter(0)
     machine.start_round(0, True)
-    machine.converse(0, 3, None)
+    machine.exchange(0, 3, None)
     for _ in range(12):
-        machine.converse(0, 1, None)
+        machine.exchange(0, 1, None)
         machine.step()
     return machine
 
 
-def old_coordinator_wakes() -> SwitchMachine:
+def frozen_coordinator_resumes() -> SwitchMachine:
     """A step mixes two maps.
 
     A coordinator is frozen while its order to activate map 11 is on the way
@@ -262,7 +262,7 @@
     return _late_activation(restarts=False)
 
 
-def daemon_forgets_the_ballot() -> SwitchMachine:
+def restarted_daemon_has_no_ballot() -> SwitchMachine:
     """A step mixes two maps.
 
     The same late order comes to a new run of rank 1's daemon, which has seen
@@ -274,56 +274,56 @@
 def _late_activation(*, restarts: bool) -> SwitchMachine:
     machine = SwitchMachine()
     machine.start_round(0, True)
-    machine.converse(0, 4, None)
-    machine.converse(0, 4, None)
+    machine.exchange(0, 4, None)
+    machine.exchange(0, 4, None)
     late = [o for o in machine.orders if o.act is GroupAct.ACTIVATE and o.rank == 1]
     machine.start_round(1, True)
-    _talk_until(machine, 1, SwitchPhase.RELEASING)
+    _exchange_until(machine, 1, SwitchPhase.RELEASING)
     if restarts:
         machine.restart_daemon(1)
         machine.wait()
     machine.orders.append(late[0])
     machine.deliver_order(0)
     for _ in range(12):
-        machine.converse(1, 1, None)
+        machine.exchange(1, 1, None)
         machine.step()
     return machine
 
 
-def _talk_until(machine: SwitchMachine, which: int, phase: SwitchPhase) -> None:
+def _exchange_until(machine: SwitchMachine, which: int, phase: SwitchPhase) -> None:
     current = machine.rounds[which]
     assert current is not None
     for _ in range(12):
         if current.phase is phase:
             return
-        machine.converse(which, 1, None)
+        machine.exchange(which, 1, None)
 
 
-def _skip_alignment(state: SwitchState) -> None:
+def _skip_alignment(state: SwitchRound) -> None:
     if state.phase is SwitchPhase.READING:
         _switch._choose_target(state)
         return
-    following = dict(_switch._NEXT)
+    following = dict(_switch._NEXT_PHASE)
     following[SwitchPhase.HOLDING] = SwitchPhase.ACTIVATING
-    state.enter(following[state.phase])
+    state.enter_phase(following[state.phase])
 
 
-def _obey_all(state: RankState, order: GroupOrder, now: float) -> RankVerdict:
+def _obey_all(state: RankState, order: GroupOrder, now: float) -> OrderDecision:
     if order.act is GroupAct.READ:
-        return RankVerdict.READ
-    return RankVerdict.OBEY
+        return OrderDecision.READ
+    return OrderDecision.OBEY
 
 
-def _obey_any_run(state: RankState, order: GroupOrder, now: float) -> RankVerdict:
+def _obey_any_run(state: RankState, order: GroupOrder, now: float) -> OrderDecision:
     if (order.ballot, order.sequence) < (state.ballot, state.sequence):
-        return RankVerdict.REFUSE
+        return OrderDecision.REFUSE
     return _obey_all(state, order, now)
 
 
-STORIES: list[tuple[Callable[[], SwitchMachine], Any, str, Callable[..., Any]]] = [
+SCENARIOS: list[tuple[Callable[[], SwitchMachine], Any, str, Callable[..., Any]]] = [
     (rank_inside_a_step, _switch, "_advance", _skip_alignment),
-    (old_coordinator_wakes, _ranks, "judge_order", _obey_all),
-    (daemon_forgets_the_ballot, _ranks, "judge_order", _obey_any_run),
+    (frozen_coordinator_resumes, _ranks, "check_order", _obey_all),
+    (restarted_daemon_has_no_ballot, _ranks, "check_order", _obey_any_run),
 ]
 
 
@@ -334,16 +334,16 @@
     def test_quiet_switch(self) -> None:
         machine = SwitchMachine()
         machine.start_round(0, True)
-        machine.converse(0, 8, None)
+        machine.exchange(0, 8, None)
         assert [engine.active for engine in machine.engines] == [11, 11, 11]
         assert [engine.limit for engine in machine.engines] == [None] * RANKS
 
     def test_rank_out_of_memory_leaves_the_old_map(self) -> None:
         """A rank can't stage the new map; the group steps on with the old."""
         machine = SwitchMachine()
-        machine.fill_memory(1, True)
+        machine.set_staging_refusal(1, True)
         machine.start_round(0, True)
-        machine.converse(0, 8, None)
+        machine.exchange(0, 8, None)
         assert [engine.active for engine in machine.engines] == [FIRST] * RANKS
         current = machine.rounds[0]
         assert current is not None
@@ -352,20 +352,22 @@
     def test_lost_coordinator_is_finished_by_another(self) -> None:
         machine = SwitchMachine()
         machine.start_round(0, True)
-        _talk_until(machine, 0, SwitchPhase.ACTIVATING)
-        machine.converse(0, 1, 2)
+        _exchange_until(machine, 0, SwitchPhase.ACTIVATING)
+        machine.exchange(0, 1, 2)
         machine.start_round(1, False)
-        machine.converse(1, 8, None)
+        machine.exchange(1, 8, None)
         assert {engine.active for engine in machine.engines} == {11}
 
-    @pytest.mark.parametrize(("story", "module", "name", "guard"), STORIES)
+    @pytest.mark.parametrize(("scenario", "module", "name", "guard"), SCENARIOS)
     def test_guard_is_needed(
         self,
-        story: Callable[[], SwitchMachine],
+        scenario: Callable[[], SwitchMachine],
         module: Any,
         name: str,
         guard: Callable[..., Any],
     ) -> None:
-        assert not story().mixed, story.__doc__
+        assert not scenario().mixed_steps, scenario.__doc__
         with patch.object(module, name, guard):
-            assert story().mixed, f"without {name} the story should go wrong"
+            assert scenario().mixed_steps, (
+                f"without {name} the scenario should go wrong"
+            )
--- a/mintsaddle/decisions/expert_maps/tests/test_switch_matrix.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_switch_matrix.py
@@ -29,7 +29,7 @@
 
 def lose_orders(machine: SwitchMachine, rank: int) -> None:
     """The rank hears nothing for a while."""
-    machine.converse(0, 2, rank)
+    machine.exchange(0, 2, rank)
 
 
 def lose_replies(machine: SwitchMachine, rank: int) -> None:
@@ -75,12 +75,12 @@
 def freeze_coordinator(machine: SwitchMachine, rank: int) -> None:
     """The coordinator freezes; another finishes; it wakes and goes on."""
     _another_coordinator(machine, wants=True)
-    machine.converse(0, 3, rank)
+    machine.exchange(0, 3, rank)
 
 
 def kill_coordinator(machine: SwitchMachine, rank: int) -> None:
     """The coordinator dies; another one mends."""
-    machine.converse(0, 1, rank)
+    machine.exchange(0, 1, rank)
     machine.rounds[0] = None
     _another_coordinator(machine, wants=False)
 
@@ -89,14 +89,14 @@
     """Two coordinators take turns."""
     machine.start_round(1, True)
     for _ in range(_TURNS):
-        machine.converse(1, 1, rank)
-        machine.converse(0, 1, None)
+        machine.exchange(1, 1, rank)
+        machine.exchange(0, 1, None)
         machine.step()
 
 
 def refuse_staging(machine: SwitchMachine, rank: int) -> None:
     """The rank runs out of memory."""
-    machine.fill_memory(rank, True)
+    machine.set_staging_refusal(rank, True)
 
 
 def enter_step(machine: SwitchMachine, rank: int) -> None:
@@ -122,7 +122,7 @@
 def _another_coordinator(machine: SwitchMachine, *, wants: bool) -> None:
     machine.start_round(1, wants)
     for _ in range(_TURNS):
-        machine.converse(1, 1, None)
+        machine.exchange(1, 1, None)
         machine.step()
 
 
@@ -138,12 +138,12 @@
     for _ in range(_TURNS):
         if current.phase is phase:
             break
-        machine.converse(0, 1, None)
+        machine.exchange(0, 1, None)
     for fault in faults:
         fault(machine, rank)
     for _ in range(_TURNS):
         if machine.rounds[0] is not None:
-            machine.converse(0, 1, None)
+            machine.exchange(0, 1, None)
         machine.step()
     return machine
 
--- a/mintsaddle/direct/_maps.py
+++ b/mintsaddle/direct/_maps.py
@@ -8,15 +8,15 @@
     ExpertMap,
     MapWatch,
     RankReport,
-    StallWatch,
+    StallDetector,
     SwitchStage,
     begin_switch,
     choose_limits,
     choose_samples,
     draw_version,
     make_first_map,
+    roll_back_held_switch,
     watchdog_timeout,
-    withdraw_held,
 )
 from mintsaddle.direct._gateway import Gateway, map_duty
 from mintsaddle.direct._rank_calls import GroupPoll, RankCalls
@@ -71,7 +71,7 @@
         self._runner = SwitchRunner(self._ranks, gateway.now)
         self._watches: dict[str, MapWatch] = {}
         self._last_versions: dict[str, int] = {}
-        self._stalls: dict[str, StallWatch] = {}
+        self._stalls: dict[str, StallDetector] = {}
         self._polls = 0
         self._has_agents = False
         self._maps: dict[str, tuple[int, ExpertMap | None]] = {}
@@ -120,12 +120,12 @@
         asked = choose_samples(sorted(reachable), WATCHED_RANKS)
         poll = self._ranks.poll(group, asked)
         report = poll.first_of(asked)
-        stall = self._stalls.setdefault(group.name, StallWatch())
+        stall = self._stalls.setdefault(group.name, StallDetector())
         now = self._gateway.now()
         if report is None or not report.is_open:
             self._stalls.pop(group.name, None)
             return
-        stall.note(report.step, poll.running, now)
+        stall.record_step(report.step, poll.running, now)
         if stall.is_stuck(now, watchdog_timeout(place)):
             self._recover(group)
 
@@ -226,7 +226,7 @@
         if switch.stage is SwitchStage.DONE:
             self._maps[group.name] = (switch.epoch, new_map)
             watch.record_switch(version, self._gateway.now())
-        elif switch.stage is SwitchStage.FAILED and switch.holders:
+        elif switch.stage is SwitchStage.FAILED and switch.held_ranks:
             self._free_own_hold(group)
         _log.info(
             "Switch over %s.",
@@ -272,7 +272,7 @@
             return False
         with self._gateway.lock:
             rng = self._gateway.rng
-            switch = withdraw_held(current, reports, self._gateway.now(), rng)
+            switch = roll_back_held_switch(current, reports, self._gateway.now(), rng)
         if switch is None:
             return False
         _log.warning(
--- a/mintsaddle/direct/_rank_calls.py
+++ b/mintsaddle/direct/_rank_calls.py
@@ -13,9 +13,9 @@
 from mintsaddle.decisions.expert_maps import (
     MapOrder,
     OrderAct,
+    OrderOutcome,
     Popularity,
     RankReport,
-    Verdict,
 )
 from mintsaddle.direct._agents import AgentLink, SilentAgents, agent_address
 from mintsaddle.direct._rank_groups import RankGroup
@@ -172,7 +172,7 @@
 
     def send(
         self, group: RankGroup, orders: Sequence[MapOrder]
-    ) -> Mapping[MapOrder, Verdict]:
+    ) -> Mapping[MapOrder, OrderOutcome]:
         """Give orders; at most one to a rank."""
         calls = {order.rank: [order_call(order)] for order in orders}
         if any(order.act in OVER_NETWORK for order in orders):
--- a/mintsaddle/direct/_switches.py
+++ b/mintsaddle/direct/_switches.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 
 from mintsaddle.decisions.expert_maps import (
-    OVER,
+    TERMINAL_STAGES,
     ArmedSwitch,
+    OrderOutcome,
     SwitchStage,
-    Verdict,
     choose_step,
     hold_at,
-    must_read_first,
+    needs_fresh_reports,
     next_map_orders,
     ranks_to_read,
     record_answers,
@@ -56,12 +56,12 @@
         """Send orders and read reports until the switch is over."""
         is_withdrawing = False
         rounds = 0
-        while switch.stage not in OVER:
+        while switch.stage not in TERMINAL_STAGES:
             if switch.stage is SwitchStage.HOLD and not switch.step:
                 switch = self._choose_step(group, switch, step_seconds)
-                if switch.stage in OVER:
+                if switch.stage in TERMINAL_STAGES:
                     break
-            if must_read_first(switch):
+            if needs_fresh_reports(switch):
                 # Old reports only in the first round wouldn't show the hold.
                 switch = self._settle(group, switch, is_sure=not is_withdrawing)
                 is_withdrawing = True
@@ -69,7 +69,7 @@
             orders = next_map_orders(switch)
             answers = self._ranks.send(group, orders)
             switch = record_answers(switch, answers, self._now())
-            if switch.stage in OVER:
+            if switch.stage in TERMINAL_STAGES:
                 break
             rounds += 1
             if stage in _HURRIED and rounds % ROUNDS_TO_REPORT:
@@ -77,14 +77,14 @@
                 # again soon. Reports tell now and then if it has formed anew.
                 time.sleep(_PAUSE_SECONDS if switch.stage is stage else 0)
                 continue
-            if must_read_first(switch):
+            if needs_fresh_reports(switch):
                 time.sleep(_ROUND_SECONDS)
                 continue
-            is_refused = Verdict.REFUSED in answers.values()
+            is_refused = OrderOutcome.REFUSED in answers.values()
             if stage is SwitchStage.PREPARE and not is_refused:
                 switch = self._await_weights(group, switch, rounds)
                 continue
-            if is_refused or Verdict.UNKNOWN in answers.values():
+            if is_refused or OrderOutcome.UNKNOWN in answers.values():
                 time.sleep(_PAUSE_SECONDS)
                 switch = self._settle(group, switch, is_sure=True)
             elif switch.stage is stage:
--- a/mintsaddle/direct/tests/test_rank_calls.py
+++ b/mintsaddle/direct/tests/test_rank_calls.py
@@ -11,8 +11,8 @@
 from mintsaddle.decisions.expert_maps import (
     MapOrder,
     OrderAct,
+    OrderOutcome,
     RankReport,
-    Verdict,
 )
 from mintsaddle.direct import _agents, _rank_calls
 from mintsaddle.direct._agents import AgentLink
@@ -114,7 +114,7 @@
         calls.poll(group, [0])
         for act in (OrderAct.ARM, OrderAct.HOLD):
             order = MapOrder(0, act, epoch=3, version=4, step=12)
-            assert calls.send(group, [order]) == {order: Verdict.DONE}
+            assert calls.send(group, [order]) == {order: OrderOutcome.DONE}
         # The agent keeps its one connection; the hold came on another one.
         assert engine.connections == 2
 
@@ -163,4 +163,4 @@
         assert poll.first_of([0]) is None
         assert calls.read_reports(group) is None
         order = MapOrder(0, OrderAct.ARM, epoch=3, version=4, step=12)
-        assert calls.send(group, [order]) == {order: Verdict.UNKNOWN}
+        assert calls.send(group, [order]) == {order: OrderOutcome.UNKNOWN}
--- a/mintsaddle/endpoint/_coordinator.py
+++ b/mintsaddle/endpoint/_coordinator.py
@@ -13,12 +13,12 @@
     PopularityCounts,
     RankReply,
     SwitchPhase,
-    SwitchState,
+    SwitchRound,
     measure_skew,
     next_orders,
     plan_moves,
     record_reply,
-    start_switch,
+    start_round,
 )
 from mintsaddle.endpoint._group_messages import read_reading, write_order
 from mintsaddle.endpoint._ranks import RankHost
@@ -138,9 +138,9 @@
         loop = self._node.loop_thread.loop
         return await loop.run_in_executor(self._node.helpers, plan)
 
-    async def _run_round(self, wanted: ExpertMap | None) -> SwitchState:
+    async def _run_round(self, wanted: ExpertMap | None) -> SwitchRound:
         group = self._host.group
-        state = start_switch(self._make_ballot(), len(group.ranks), wanted)
+        state = start_round(self._make_ballot(), len(group.ranks), wanted)
         for _ in range(_MOST_TRIES):
             orders = next_orders(state)
             if not orders:
@@ -153,7 +153,7 @@
         return state
 
     async def _ask(
-        self, state: SwitchState, order: GroupOrder, wanted: ExpertMap | None
+        self, state: SwitchRound, order: GroupOrder, wanted: ExpertMap | None
     ) -> None:
         group = self._host.group
         message = write_order(group.name, order, wanted)
--- a/mintsaddle/endpoint/_ranks.py
+++ b/mintsaddle/endpoint/_ranks.py
@@ -9,10 +9,10 @@
 from mintsaddle.daemon import DaemonNode
 from mintsaddle.decisions.expert_maps import (
     GroupAct,
+    OrderDecision,
     RankReading,
     RankState,
-    RankVerdict,
-    judge_order,
+    check_order,
 )
 from mintsaddle.endpoint._group_messages import read_order, read_reading
 from mintsaddle.engines import send_group_order
@@ -100,13 +100,13 @@
         async with self._turn:
             self._ordered_at = self._node.now()
             order = read_order(message)
-            verdict = judge_order(self._state, order, self._node.now())
-            obeyed = verdict is not RankVerdict.REFUSE
+            verdict = check_order(self._state, order, self._node.now())
+            obeyed = verdict is not OrderDecision.REFUSE
             answer: dict[str, Any] | None = None
-            if verdict is RankVerdict.OBEY:
+            if verdict is OrderDecision.OBEY:
                 answer = await self._send(order.act.value, _engine_order(message))
                 obeyed = answer is not None and bool(answer.get("obeyed"))
-            elif verdict is RankVerdict.READ:
+            elif verdict is OrderDecision.READ:
                 answer = await self._send(GroupAct.READ.value, {"ballot": order.ballot})
             reply = self._make_reply(answer, obeyed=obeyed)
             if answer is not None and message.wants_popularity:
--- a/mintsaddle/platform/_ranks.py
+++ b/mintsaddle/platform/_ranks.py
@@ -6,7 +6,12 @@
 
 from returns.result import Failure, Result, Success
 
-from mintsaddle.decisions.expert_maps import MapOrder, OrderAct, RankReport, Verdict
+from mintsaddle.decisions.expert_maps import (
+    MapOrder,
+    OrderAct,
+    OrderOutcome,
+    RankReport,
+)
 from mintsaddle.rank_agent import NO_ANSWER, RankAnswer, RankCall
 
 CALL_SECONDS = 0.4
@@ -30,7 +35,7 @@
     # The platform's word for letting a held step begin.
     OrderAct.RELEASE: "go",
 }
-_VERDICTS = {200: Verdict.DONE, 202: Verdict.BEGUN, 409: Verdict.REFUSED}
+_VERDICTS = {200: OrderOutcome.DONE, 202: OrderOutcome.BEGUN, 409: OrderOutcome.REFUSED}
 
 
 def report_call() -> RankCall:
@@ -77,12 +82,12 @@
     return RankCall("POST", _ORDER_PATH, body)
 
 
-def decode_verdict(answer: RankAnswer) -> Verdict:
+def decode_verdict(answer: RankAnswer) -> OrderOutcome:
     """Return how a rank's engine answered an order."""
     if answer.status == NO_ANSWER.status:
-        return Verdict.UNKNOWN
+        return OrderOutcome.UNKNOWN
     # 421 and 503 come from an engine that has nothing of ours.
-    return _VERDICTS.get(answer.status, Verdict.REFUSED)
+    return _VERDICTS.get(answer.status, OrderOutcome.REFUSED)
 
 
 def call_rank(address: str, call: RankCall) -> RankAnswer:
