--- a/mintsaddle/decisions/expert_maps/__init__.py
+++ b/mintsaddle/decisions/expert_maps/__init__.py
@@ -61,7 +61,7 @@
     SwitchRound,
     next_orders,
     record_reply,
-    start_round,
+    start_switch_round,
 )
 from mintsaddle.decisions.expert_maps._watch import MapWatch, choose_samples
 
@@ -114,6 +114,6 @@
     "roll_back_held_switch",
     "slowest_share",
     "spread_experts",
-    "start_round",
+    "start_switch_round",
     "step_load",
 ]
--- a/mintsaddle/decisions/expert_maps/_switch.py
+++ b/mintsaddle/decisions/expert_maps/_switch.py
@@ -227,7 +227,9 @@
         self._limit = limit
 
 
-def start_round(ballot: int, ranks: int, wanted: ExpertMap | None) -> SwitchRound:
+def start_switch_round(
+    ballot: int, ranks: int, wanted: ExpertMap | None
+) -> SwitchRound:
     """Start a round that switches maps or finishes an interrupted round."""
     return SwitchRound(ballot, ranks, wanted)
 
--- a/mintsaddle/decisions/expert_maps/tests/test_armed_switch.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_armed_switch.py
@@ -1,4 +1,4 @@
-"""The switch of engines that don't compare maps, against late orders."""
+"""Tests the armed switch under lost, delayed and concurrent orders."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -35,11 +35,11 @@
 RANKS = 3
 FIRST_MAP = make_first_map(0, RANKS, 6, 1, 2)
 MAPS = [(((0, 3), (1, 4), (2, 5)),), (((0, 4), (1, 5), (2, 3)),)]
-"""What each of two coordinators plans."""
+"""The layers that each of the two coordinators switches to."""
 
 
 class Engine:
-    """One rank's engine, as the platform's page describes it."""
+    """A rank's engine that behaves as the platform specifies."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -53,7 +53,7 @@
     def execute(self, order: MapOrder, epoch: int, step: int) -> OrderOutcome:
         if order.epoch != epoch:
             return OrderOutcome.REFUSED
-        # A hold that stood before is answered like one that stands from now.
+        # An existing hold and a new one are answered alike.
         match order.act:
             case OrderAct.PREPARE:
                 ready = (self.prepared, self.prepared_layers)
@@ -90,7 +90,7 @@
 
 
 class Group:
-    """The engines of a group, and the steps that they run together."""
+    """The engines of a group and the steps that they run together."""
 
     def __init__(self) -> None:
         self.engines = [Engine() for _ in range(RANKS)]
@@ -99,7 +99,7 @@
         self.delayed: list[MapOrder] = []
 
     def begin_step(self) -> None:
-        """Begin the next step, unless it is held; change maps that are due."""
+        """Begin the next step unless it is held, and switch armed maps."""
         upcoming = self.step + 1
         if any(engine.held == upcoming for engine in self.engines):
             return
@@ -112,8 +112,8 @@
         maps = {(engine.version, engine.layers) for engine in self.engines}
         assert len(maps) == 1, f"step {upcoming} begins with maps {maps}"
 
-    def form_again(self) -> None:
-        """A rank died and is back: the first map, nothing armed or held."""
+    def start_new_epoch(self) -> None:
+        """Start a new epoch with the first map and nothing armed or held."""
         self.epoch += 1
         self.engines = [Engine() for _ in range(RANKS)]
 
@@ -137,20 +137,20 @@
 
 
 class Simulation:
-    """A group, coordinators and a network, moved on by one random source."""
+    """A group, two coordinators and a network, driven by one random seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.group = Group()
         self.switches: list[ArmedSwitch | None] = [None, None]
-        # After a power cut each entry takes itself for the coordinator.
+        # After a power cut each entry assumes that it is the coordinator.
         self.second_coordinator_share = self.rng.choice([0.2, 0.5])
         self.second_begin_probability = self.rng.choice([0.1, 0.5])
         self.loss_probability = self.rng.choice([0.0, 0.1, 0.4])
         self.delay_probability = self.rng.choice([0.0, 0.3])
 
     def run(self, events: int) -> int:
-        """Play some events; return how many switches went through."""
+        """Run some events and return how many switches succeeded."""
         done = 0
         for _ in range(events):
             index = 1 if self.rng.random() < self.second_coordinator_share else 0
@@ -194,7 +194,7 @@
         self.switches[index] = switch
 
     def _send(self, order: MapOrder) -> OrderOutcome:
-        """Send an order: it may be lost, carried out late, or not answered."""
+        """Send an order, which may be lost, delayed or left unanswered."""
         if self.rng.random() >= self.loss_probability:
             return self.group.execute(order)
         roll = self.rng.random()
@@ -211,9 +211,9 @@
         if self.rng.random() < 0.5:
             self.group.begin_step()
         if self.rng.random() < 0.005:
-            self.group.form_again()
+            self.group.start_new_epoch()
         if self.rng.random() < 0.02:
-            # A coordinator dies.
+            # A coordinator is killed.
             self.switches[self.rng.randrange(2)] = None
 
 
@@ -280,7 +280,7 @@
     def test_coordinators_may_not_draw_the_same_version(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against two coordinators that share a version."""
+        """Guards against two coordinators that use the same version."""
         monkeypatch.setattr(_armed_begin, "draw_version", draw_next_number)
         with pytest.raises(AssertionError, match="begins with maps"):
             run_simulations()
@@ -288,13 +288,13 @@
     def test_a_hold_may_be_shared_by_two_coordinators(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Guards against a withdrawal that releases another one's hold."""
+        """Guards against a rollback that releases a shared hold."""
         monkeypatch.setattr(_armed_switch, "_record_fenced", accept_any_higher_version)
         with pytest.raises(AssertionError, match="begins with maps"):
             run_simulations(6000)
 
     def test_a_switch_is_given_up_once_another_one_is_ahead(self) -> None:
-        """Guards against a coordinator that waits for a lost race."""
+        """Guards against waiting for weights that another switch replaced."""
         group = Group()
         reports = [group.report(rank) for rank in range(RANKS)]
         switch = begin_switch(FIRST_MAP, ExpertMap(5, MAPS[0]), reports, now=0.0)
@@ -306,14 +306,14 @@
         assert record_reports(switch, reports, now=0.3).stage is SwitchStage.FAILED
 
     def test_a_refused_version_is_not_tried_again(self) -> None:
-        """Guards against a group whose map never changes once formed anew."""
+        """Guards against a group whose map never changes in a new epoch."""
         reports = [Group().report(rank) for rank in range(RANKS)]
         rng = random.Random(1)
         first = _armed_begin.draw_version(reports, rng)
         assert _armed_begin.draw_version(reports, rng, above=first) > first
 
     def test_loaded_weights_are_known_before_a_report_tells(self) -> None:
-        """Guards against steps that wait for an old report."""
+        """Guards against steps that are held up by an outdated report."""
         group = Group()
         reports = [group.report(rank) for rank in range(RANKS)]
         switch = begin_switch(FIRST_MAP, ExpertMap(5, MAPS[0]), reports, now=0.0)
@@ -340,7 +340,7 @@
         assert [engine.version for engine in group.engines] == [1] * RANKS
 
     def test_a_newer_switch_outlives_a_withdrawal(self) -> None:
-        """Guards against a newer switch that is disarmed in part."""
+        """Guards against disarming some ranks of a newer switch."""
         group = Group()
         for engine in group.engines:
             engine.highest = engine.prepared = 4
@@ -348,31 +348,31 @@
         group.begin_step()
         group.begin_step()
         reports = [group.report(rank) for rank in range(RANKS)]
-        withdrawal = roll_back_held_switch(FIRST_MAP, reports, 0.0, random.Random(1))
-        assert withdrawal is not None
-        answers = {order: group.execute(order) for order in next_map_orders(withdrawal)}
-        withdrawal = record_answers(withdrawal, answers, now=0.0)
-        assert withdrawal.stage is SwitchStage.FENCE
+        rollback = roll_back_held_switch(FIRST_MAP, reports, 0.0, random.Random(1))
+        assert rollback is not None
+        answers = {order: group.execute(order) for order in next_map_orders(rollback)}
+        rollback = record_answers(rollback, answers, now=0.0)
+        assert rollback.stage is SwitchStage.FENCE
 
         for engine in group.engines:
             engine.highest = engine.prepared = 9
             engine.armed = (9, 6)
         reports = [group.report(rank) for rank in range(RANKS)]
-        withdrawal = record_reports(withdrawal, reports, now=0.1)
+        rollback = record_reports(rollback, reports, now=0.1)
 
-        assert withdrawal.stage is SwitchStage.RELEASE
+        assert rollback.stage is SwitchStage.RELEASE
         assert [engine.armed for engine in group.engines] == [(9, 6)] * RANKS
 
     def test_withdrawals_hold_at_ranks_drawn_by_chance(self) -> None:
-        """Guards against two withdrawals that hold at the same rank."""
+        """Guards against two rollbacks that hold at the same rank."""
         group = Group()
         group.engines[0].held = 2
         reports = [group.report(rank) for rank in range(RANKS)]
         drawn = {
-            withdrawal.hold_rank
+            rollback.hold_rank
             for seed in range(20)
             if (
-                withdrawal := roll_back_held_switch(
+                rollback := roll_back_held_switch(
                     FIRST_MAP, reports, 0.0, random.Random(seed)
                 )
             )
@@ -380,7 +380,7 @@
         assert drawn == {1, 2}
 
     def test_a_group_that_moves_is_left_alone(self) -> None:
-        """Guards against ranks disarmed while their step begins."""
+        """Guards against disarming ranks while their step begins."""
         group = Group()
         for engine in group.engines:
             engine.highest = engine.prepared = 4
@@ -396,7 +396,7 @@
         )
 
     def test_a_held_group_is_freed_by_another_coordinator(self) -> None:
-        """Guards against a group held by an entry that is gone."""
+        """Guards against a group that stays held by a dead entry."""
         group = Group()
         for engine in group.engines:
             engine.highest = engine.prepared = 4
--- a/mintsaddle/decisions/expert_maps/tests/test_stall.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_stall.py
@@ -1,4 +1,4 @@
-"""Noticing a group that stands still, and who acts first."""
+"""Tests the detection of stalled groups and the order of succession."""
 
 import pytest
 
@@ -13,7 +13,7 @@
             ([(5, 3, 0.0), (5, 3, 0.7)], True),
             ([(5, 3, 0.0), (6, 3, 0.7)], False),
             ([(5, 0, 0.0), (5, 0, 0.7)], False),
-            # It had no work until now.
+            # The group has just received work.
             ([(5, 0, 0.0), (5, 3, 0.7)], False),
         ],
     )
@@ -28,7 +28,7 @@
 
 class TestGuards:
     def test_a_group_is_freed_before_callers_leave(self) -> None:
-        """Guards against a hold that outlasts its callers' patience."""
+        """Guards against a hold that lasts until callers leave."""
         timeout = [watchdog_timeout(position) for position in range(3)]
         assert timeout == sorted(set(timeout))
         assert timeout[-1] < 1.5
--- a/mintsaddle/decisions/expert_maps/tests/test_switch_machine.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_switch_machine.py
@@ -1,8 +1,9 @@
-"""The switch of a rank group under every interleaving that may happen.
+"""Stateful tests of the map switch under arbitrary interleavings.
 
-A fake group steps in lock-step and checks each completed step's maps itself.
-Orders and answers come late, doubled or never; daemons restart; two
-coordinators work at once; a rank refuses to stage; engines ignore fencing.
+A fake group runs in lock-step and records each completed step whose ranks used
+different maps. Orders and replies are delayed, duplicated or lost, daemons
+restart, two coordinators run concurrently, ranks refuse to stage, and engines
+ignore fencing.
 """
 
 from collections.abc import Callable
@@ -33,7 +34,7 @@
     _switch,
     next_orders,
     record_reply,
-    start_round,
+    start_switch_round,
 )
 from mintsaddle.decisions.expert_maps._ranks import ORDER_TIMEOUT
 
@@ -42,7 +43,7 @@
 
 
 class FakeRank:
-    """One rank's engine; it obeys whatever it is told, fenced or not."""
+    """A rank's engine that carries out all orders and ignores fencing."""
 
     def __init__(self) -> None:
         self.active = FIRST
@@ -55,7 +56,7 @@
         self.refuses_staging = False
 
     def execute(self, order: GroupOrder) -> bool:
-        """Carry an order out."""
+        """Carry out an order."""
         match order.act:
             case GroupAct.STAGE:
                 if self.refuses_staging:
@@ -83,7 +84,7 @@
         return not inside and (self.limit is None or self.entered + 1 < self.limit)
 
     def read(self) -> RankReading:
-        """Return where it stands."""
+        """Return the engine's state."""
         return RankReading(
             self.active,
             self.staged,
@@ -95,7 +96,7 @@
 
 
 class SwitchMachine(RuleBasedStateMachine):
-    """A group, its daemons and up to two coordinators."""
+    """A group with its daemons and up to two coordinators."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -127,27 +128,27 @@
 
     @rule()
     def step(self) -> None:
-        """Let all ranks step on as far as they may."""
+        """Let all ranks enter their next step if they may."""
         for rank in range(RANKS):
             self.enter(rank)
 
     @rule(which=st.integers(0, 1), wants=st.booleans())
     def start_round(self, which: int, wants: bool) -> None:
-        """Start a coordinator's round, to a new map or only to mend."""
+        """Start a round that switches maps or only finishes an earlier one."""
         self.ballots += 1
         wanted = ExpertMap(self.ballots, ()) if wants else None
-        self.rounds[which] = start_round(self.ballots, RANKS, wanted)
+        self.rounds[which] = start_switch_round(self.ballots, RANKS, wanted)
 
     @rule(which=st.integers(0, 1))
     def send(self, which: int) -> None:
-        """Put a coordinator's orders on their way."""
+        """Send a coordinator's current orders."""
         current = self.rounds[which]
         if current is not None:
             self.orders.extend(next_orders(current))
 
     @rule(back=st.integers(0, 8))
     def deliver_order(self, back: int) -> None:
-        """Deliver one of the newest orders, maybe again, maybe much later."""
+        """Deliver one of the newest orders, possibly delayed or repeated."""
         if back >= len(self.orders):
             return
         order = self.orders[-1 - back]
@@ -162,7 +163,7 @@
 
     @rule(back=st.integers(0, 8), which=st.integers(0, 1))
     def deliver_reply(self, back: int, which: int) -> None:
-        """Deliver one of the newest answers."""
+        """Deliver one of the newest replies."""
         current = self.rounds[which]
         if current is not None and back < len(self.replies):
             record_reply(current, self.replies[-1 - back])
@@ -173,7 +174,7 @@
         silent=st.sampled_from([None, *range(RANKS)]),
     )
     def exchange(self, which: int, times: int, silent: int | None) -> None:
-        """Let a coordinator talk with all ranks but one for a while."""
+        """Exchange orders and replies with all ranks except the silent one."""
         current = self.rounds[which]
         for _ in range(times):
             for order in next_orders(current) if current else ():
@@ -185,27 +186,27 @@
 
     @rule(rank=st.integers(0, RANKS - 1))
     def restart_daemon(self, rank: int) -> None:
-        """Kill a rank's daemon; its next run has seen no ballot."""
+        """Restart a rank's daemon, whose new run has seen no ballot."""
         self.boots += 1
         self.daemons[rank] = RankState(self.boots, self.now)
 
     @rule(rank=st.integers(0, RANKS - 1), refuses=st.booleans())
     def set_staging_refusal(self, rank: int, refuses: bool) -> None:
-        """Let a rank run out of memory for staging, or recover."""
+        """Set whether a rank lacks the memory for staging."""
         self.engines[rank].refuses_staging = refuses
 
     @rule()
     def wait(self) -> None:
-        """Let orders of runs that are over lose their effect."""
+        """Wait until orders of earlier daemon runs can't take effect."""
         self.now += ORDER_TIMEOUT + 0.1
 
     @invariant()
     def one_map_in_each_step(self) -> None:
-        """No completed step mixed two maps."""
+        """Check that no completed step mixed two maps."""
         assert not self.mixed_steps, f"steps mixed maps: {self.mixed_steps}"
 
     def teardown(self) -> None:
-        """Once all is well again, the group ends on one map and steps on."""
+        """Check that the group recovers to one map and resumes stepping."""
         for engine in self.engines:
             engine.refuses_staging = False
         self.wait()
@@ -223,7 +224,7 @@
 
 
 def run_machine(examples: int, steps: int) -> None:
-    """Run the machine."""
+    """Run the state machine with reproducible examples."""
     run_state_machine_as_test(
         SwitchMachine,
         settings=settings(
@@ -239,8 +240,8 @@
 def rank_inside_a_step() -> SwitchMachine:
     """A step mixes two maps.
 
-    Rank 0 is inside step 1, waiting for the others, when all are held. The
-    new map is activated everywhere, and the others enter step 1 with it.
+    Rank 0 is inside step 1, waiting for the others, when all ranks are held.
+    The new map is activated on all ranks, and the others enter step 1 with it.
     """
     machine = SwitchMachine()
     machine.enter(0)
@@ -255,9 +256,9 @@
 def frozen_coordinator_resumes() -> SwitchMachine:
     """A step mixes two maps.
 
-    A coordinator is frozen while its order to activate map 11 is on the way
-    to rank 1. Another one finishes that switch and makes the next one; when
-    all have map 12, the old order comes.
+    A coordinator freezes while its order to activate map 11 is in transit to
+    rank 1. Another coordinator finishes that switch and performs the next one.
+    The old order arrives when all ranks have map 12.
     """
     return _late_activation(restarts=False)
 
@@ -265,8 +266,8 @@
 def restarted_daemon_has_no_ballot() -> SwitchMachine:
     """A step mixes two maps.
 
-    The same late order comes to a new run of rank 1's daemon, which has seen
-    no ballot at all.
+    The same delayed order reaches a new run of rank 1's daemon, which has
+    seen no ballot yet.
     """
     return _late_activation(restarts=True)
 
@@ -339,7 +340,7 @@
         assert [engine.limit for engine in machine.engines] == [None] * RANKS
 
     def test_rank_out_of_memory_leaves_the_old_map(self) -> None:
-        """A rank can't stage the new map; the group steps on with the old."""
+        """A rank can't stage the new map; the group continues with the old."""
         machine = SwitchMachine()
         machine.set_staging_refusal(1, True)
         machine.start_round(0, True)
@@ -368,6 +369,4 @@
     ) -> None:
         assert not scenario().mixed_steps, scenario.__doc__
         with patch.object(module, name, guard):
-            assert scenario().mixed_steps, (
-                f"without {name} the scenario should go wrong"
-            )
+            assert scenario().mixed_steps, f"without {name} the scenario must mix maps"
--- a/mintsaddle/decisions/expert_maps/tests/test_switch_matrix.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_switch_matrix.py
@@ -1,8 +1,8 @@
-"""Each fault at each phase of a switch, for each rank.
+"""Tests each fault in each phase of a switch, for each rank.
 
-A cell runs a switch to a phase, strikes, lets coordinators go on, and heals.
-The fake group checks the maps of each completed step; in the end all ranks
-have one map and step on.
+Each case runs a switch up to a phase, injects faults, lets the coordinators
+continue and then removes the faults. The fake group checks the maps of each
+completed step. At the end all ranks must have one map and resume stepping.
 """
 
 from collections.abc import Callable
@@ -28,20 +28,20 @@
 
 
 def lose_orders(machine: SwitchMachine, rank: int) -> None:
-    """The rank hears nothing for a while."""
+    """Drop all orders to the rank for two rounds of messages."""
     machine.exchange(0, 2, rank)
 
 
 def lose_replies(machine: SwitchMachine, rank: int) -> None:
-    """The rank obeys, but its answers are lost."""
+    """Carry out the rank's orders, but drop its replies."""
     machine.send(0)
     for back in range(len(machine.orders)):
         if machine.orders[-1 - back].rank == rank and back < RANKS:
             machine.deliver_order(back)
 
 
-def double_orders(machine: SwitchMachine, rank: int) -> None:
-    """All orders of the round so far come again."""
+def duplicate_orders(machine: SwitchMachine, rank: int) -> None:
+    """Deliver all of the rank's orders of the round again."""
     for order in tuple(machine.orders):
         if order.rank == rank:
             machine.orders.append(order)
@@ -50,7 +50,7 @@
 
 
 def delay_orders(machine: SwitchMachine, rank: int) -> None:
-    """The present orders come only when another round is over."""
+    """Deliver the rank's current orders only after another round."""
     machine.send(0)
     late = [order for order in machine.orders[-RANKS:] if order.rank == rank]
     _another_coordinator(machine, wants=True)
@@ -61,32 +61,32 @@
 
 
 def restart_daemon(machine: SwitchMachine, rank: int) -> None:
-    """The rank's daemon is killed and starts anew."""
+    """Restart the rank's daemon."""
     machine.restart_daemon(rank)
 
 
 def restart_daemon_late_orders(machine: SwitchMachine, rank: int) -> None:
-    """The rank's daemon starts anew and meets all the old orders again."""
+    """Restart the rank's daemon and deliver all old orders again."""
     machine.restart_daemon(rank)
     machine.wait()
-    double_orders(machine, rank)
+    duplicate_orders(machine, rank)
 
 
 def freeze_coordinator(machine: SwitchMachine, rank: int) -> None:
-    """The coordinator freezes; another finishes; it wakes and goes on."""
+    """Let a frozen coordinator resume after another one has finished."""
     _another_coordinator(machine, wants=True)
     machine.exchange(0, 3, rank)
 
 
 def kill_coordinator(machine: SwitchMachine, rank: int) -> None:
-    """The coordinator dies; another one mends."""
+    """Kill the coordinator and let another one finish its switch."""
     machine.exchange(0, 1, rank)
     machine.rounds[0] = None
     _another_coordinator(machine, wants=False)
 
 
 def two_coordinators(machine: SwitchMachine, rank: int) -> None:
-    """Two coordinators take turns."""
+    """Alternate between two coordinators."""
     machine.start_round(1, True)
     for _ in range(_TURNS):
         machine.exchange(1, 1, rank)
@@ -95,19 +95,19 @@
 
 
 def refuse_staging(machine: SwitchMachine, rank: int) -> None:
-    """The rank runs out of memory."""
+    """Let the rank run out of memory for staging."""
     machine.set_staging_refusal(rank, True)
 
 
 def enter_step(machine: SwitchMachine, rank: int) -> None:
-    """The rank is inside a step when the others are held."""
+    """Let the rank enter a step before the others are held."""
     machine.enter(rank)
 
 
 FAULTS: list[Callable[[SwitchMachine, int], None]] = [
     lose_orders,
     lose_replies,
-    double_orders,
+    duplicate_orders,
     delay_orders,
     restart_daemon,
     restart_daemon_late_orders,
@@ -129,7 +129,7 @@
 def run_switch(
     phase: SwitchPhase, faults: list[Callable[[SwitchMachine, int], None]], rank: int
 ) -> SwitchMachine:
-    """Run one cell to its end; `teardown` checks it."""
+    """Run one case to its end; `teardown` checks the result."""
     machine = SwitchMachine()
     machine.step()
     machine.start_round(0, True)
--- a/mintsaddle/endpoint/_coordinator.py
+++ b/mintsaddle/endpoint/_coordinator.py
@@ -18,7 +18,7 @@
     next_orders,
     plan_moves,
     record_reply,
-    start_round,
+    start_switch_round,
 )
 from mintsaddle.endpoint._group_messages import read_reading, write_order
 from mintsaddle.endpoint._ranks import RankHost
@@ -140,7 +140,7 @@
 
     async def _run_round(self, wanted: ExpertMap | None) -> SwitchRound:
         group = self._host.group
-        state = start_round(self._make_ballot(), len(group.ranks), wanted)
+        state = start_switch_round(self._make_ballot(), len(group.ranks), wanted)
         for _ in range(_MOST_TRIES):
             orders = next_orders(state)
             if not orders:
