--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -16,10 +16,10 @@
     AdmissionRules,
     AdmissionState,
     Candidate,
-    Evidence,
+    EngineFeedback,
     confirm_engine,
     finish,
-    offer,
+    try_admit,
 )
 from mintsaddle.decisions.configuration import choose_sources
 from mintsaddle.decisions.expert_maps import (
@@ -179,13 +179,13 @@
     confirm_engine(state, 1, None, NOW)
     for number in range(held):
         candidate = Candidate(f"h{number}", f"w{number % 50}", 1.0, 0, NOW + 9)
-        offer(state, rules, candidate, NOW)
+        try_admit(state, rules, candidate, NOW)
     numbers = iter(range(10_000_000))
 
     def act() -> None:
         name = f"n{next(numbers)}"
-        offer(state, rules, Candidate(name, "w", 1.0, 0, NOW + 9), NOW)
-        finish(state, rules, name, Evidence.GOOD, NOW)
+        try_admit(state, rules, Candidate(name, "w", 1.0, 0, NOW + 9), NOW)
+        finish(state, rules, name, EngineFeedback.GOOD, NOW)
 
     print(f"admission {held} held: {timed(act, 2000) * _MICRO:.0f} us a request")
 
--- a/benchmarks/datacentre_move.py
+++ b/benchmarks/datacentre_move.py
@@ -23,7 +23,7 @@
     capacity,
 )
 from fakes.model._world import START
-from mintsaddle.decisions.admission import AdmissionRules, AdmissionState, Waiting
+from mintsaddle.decisions.admission import AdmissionRules, AdmissionState, QueuedRequest
 from mintsaddle.decisions.admission import _commands as admission
 from mintsaddle.decisions.admission import _queries as admission_queries
 from mintsaddle.decisions.calls import _attempts as calls
@@ -137,18 +137,18 @@
     return 0 if state.engine_boot is None else rules.limit
 
 
-def by_arrival(state: AdmissionState) -> list[Waiting]:
+def by_arrival(state: AdmissionState) -> list[QueuedRequest]:
     """Return the queue by arrival."""
     return sorted(state.waiting.values(), key=lambda waiting: waiting.number)
 
 
-def by_fair_tags() -> Callable[[AdmissionState], list[Waiting]]:
+def by_fair_tags() -> Callable[[AdmissionState], list[QueuedRequest]]:
     """Return start-time fair queueing: virtual tags of started requests."""
     tags: dict[tuple[int, str], float] = {}
     starts: dict[tuple[int, str], float] = {}
     virtual: dict[int, float] = {}
 
-    def order(state: AdmissionState) -> list[Waiting]:
+    def order(state: AdmissionState) -> list[QueuedRequest]:
         engine = id(state)
         for request_id, running in state.running.items():
             start = starts.pop((engine, request_id), None)
@@ -170,7 +170,7 @@
     return order
 
 
-def by_shortest() -> Callable[[AdmissionState], list[Waiting]]:
+def by_shortest() -> Callable[[AdmissionState], list[QueuedRequest]]:
     """Return predicted-shortest-first, after the ELIS paper's ISRTF.
 
     Predicted by a running mean for each workspace, read off what the engine
@@ -179,13 +179,13 @@
     means: dict[str, float] = {}
     seen: dict[str, tuple[str, float]] = {}
 
-    def order(state: AdmissionState) -> list[Waiting]:
+    def order(state: AdmissionState) -> list[QueuedRequest]:
         for request_id, running in state.running.items():
             seen[request_id] = (running.candidate.workspace, running.started_at)
         for request_id in [name for name in seen if name not in state.running]:
             workspace, _ = seen.pop(request_id)
-            mean = means.get(workspace, state.mean_time)
-            means[workspace] = mean + 0.1 * (state.mean_time - mean)
+            mean = means.get(workspace, state.mean_service_time)
+            means[workspace] = mean + 0.1 * (state.mean_service_time - mean)
         return sorted(
             state.waiting.values(),
             key=lambda w: (means.get(w.candidate.workspace, 0.0), w.number),
--- a/benchmarks/move_site.py
+++ b/benchmarks/move_site.py
@@ -157,7 +157,9 @@
             self.world.after(1.0, self._make_warm(name))
 
     def _make_warm(self, name: str) -> Callable[[], None]:
-        return lambda: self.endpoints[name].state.admission.replace_gained(float(LIMIT))
+        return lambda: self.endpoints[name].state.admission.replace_extra_limit(
+            float(LIMIT)
+        )
 
     def _text(self) -> str:
         parts = ["[fleet]\nname = move\nclock bound = 0.05\n"]
--- a/fakes/model/_endpoint.py
+++ b/fakes/model/_endpoint.py
@@ -6,7 +6,7 @@
 from fakes.model._daemons import Daemon, Platform
 from fakes.model._engine import CHUNKS, Engine, EngineRun, make_result
 from fakes.model._world import World
-from mintsaddle.decisions.admission import Evidence
+from mintsaddle.decisions.admission import EngineFeedback
 from mintsaddle.decisions.arrivals import (
     AcceptArrival,
     AnswerArrival,
@@ -16,13 +16,13 @@
     EngineResult,
     RefuseArrival,
     StartEngine,
-    arrive,
+    apply_configuration,
     cancel,
     close_engine_call,
-    confirm,
     describe_endpoint_load,
-    follow_text,
-    lose,
+    handle_arrival,
+    handle_engine_down,
+    handle_engine_up,
     may_exit,
     start_leaving,
     tick,
@@ -117,7 +117,7 @@
 
     def follow(self) -> None:
         """Follow a changed text or marks."""
-        self.perform(follow_text(self.state, self.now()))
+        self.perform(apply_configuration(self.state, self.now()))
 
     def take(self, attempt: Attempt) -> None:
         """Take an attempt in, behind the sender's revision never."""
@@ -156,7 +156,7 @@
             claim = Claim.NONE if attempt.arrival.key else Claim.NEVER
             self._refuse(request_id, Refusal(claim, Reason.BEHIND, self.now() + 0.5))
             return
-        self.perform(arrive(self.state, attempt.arrival, self.now()))
+        self.perform(handle_arrival(self.state, attempt.arrival, self.now()))
 
     def _start_engine(self, request_id: str) -> None:
         arrival = self.state.arrivals[request_id]
@@ -164,7 +164,7 @@
         order = arrival.key is not None
         work = arrival.key.text if arrival.key else request_id.rpartition(".")[0]
         if not self.engine.alive:
-            result = EngineResult(Evidence.FAILED, reached=False)
+            result = EngineResult(EngineFeedback.FAILED, reached=False)
             self._end(request_id, result, 0)
             return
         first = attempt.resume_after + 1 if attempt else 1
@@ -207,7 +207,7 @@
     def _end(self, request_id: str, result: EngineResult, chunks: int) -> None:
         arrival = self.state.arrivals.get(request_id)
         if arrival is not None and arrival.key is None:
-            if result.evidence is Evidence.GOOD:
+            if result.feedback is EngineFeedback.GOOD:
                 self._say(request_id, lambda at: EndArrived(at, chunks))
             elif not result.reached:
                 refusal = Refusal(Claim.NEVER, Reason.ENGINE_DOWN, self.now() + 1.0)
@@ -283,9 +283,11 @@
     def _probe(self) -> None:
         self.later(_PROBE, self._probe)
         if not self.engine.alive:
-            self.perform(lose(self.state, self.now()))
+            self.perform(handle_engine_down(self.state, self.now()))
         elif not self.engine.frozen:
-            self.perform(confirm(self.state, self.engine.boot, None, self.now()))
+            self.perform(
+                handle_engine_up(self.state, self.engine.boot, None, self.now())
+            )
 
     def _tick(self) -> None:
         self.later(_TICK, self._tick)
--- a/fakes/model/_engine.py
+++ b/fakes/model/_engine.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from fakes.model._world import Execution, Process, World
-from mintsaddle.decisions.admission import Evidence
+from mintsaddle.decisions.admission import EngineFeedback
 from mintsaddle.decisions.arrivals import EngineResult
 
 CHUNKS = 4
@@ -117,5 +117,5 @@
 
 def make_result(whole: bool, body: bytes = b"") -> EngineResult:
     """Return what an endpoint daemon makes of an end."""
-    evidence = Evidence.GOOD if whole else Evidence.FAILED
+    evidence = EngineFeedback.GOOD if whole else EngineFeedback.FAILED
     return EngineResult(evidence, True, 200 if whole else 0, "text/plain", body)
--- a/fakes/model/_entry.py
+++ b/fakes/model/_entry.py
@@ -8,16 +8,16 @@
 from mintsaddle.decisions.calls import (
     AttemptFailed,
     CallAction,
-    CallerLeft,
+    CallerDisconnected,
     CallEvent,
     CallRequest,
     CallState,
     CancelAttempt,
     DeliverChunk,
     FinishCall,
-    RouteFacts,
+    RoutingContext,
     SendAttempt,
-    TimePassed,
+    TimerFired,
     handle_event,
     next_deadline,
     start_call,
@@ -139,7 +139,7 @@
 
     def hang_up(self) -> None:
         """The caller goes."""
-        self.entry.when_awake(lambda: self.handle(CallerLeft()))
+        self.entry.when_awake(lambda: self.handle(CallerDisconnected()))
         self.entry.calls.discard(self)
 
     def handle(self, event: CallEvent) -> None:
@@ -179,10 +179,10 @@
     ) -> Callable[[], None]:
         return lambda: endpoint.hang_up(request_id)
 
-    def _facts(self) -> RouteFacts:
+    def _facts(self) -> RoutingContext:
         configuration = self.entry.configuration
         assert configuration.fleet is not None
-        return RouteFacts(
+        return RoutingContext(
             configuration.fleet,
             configuration.marks,
             self.entry.routing,
@@ -261,7 +261,7 @@
         if self._state.over:
             return
         if self.entry.now() >= next_deadline(self._state):
-            self.handle(TimePassed())
+            self.handle(TimerFired())
         if not self._state.over:
             self._set_timer()
 
--- a/fakes/model/tests/test_matrix.py
+++ b/fakes/model/tests/test_matrix.py
@@ -72,7 +72,7 @@
 
 
 def _take_any_chunk(state: Any, facts: Any, attempt: Any, event: Any, now: Any) -> Any:
-    state.mark_head()
+    state.mark_head_delivered()
     return (DeliverChunk(state.count_delivered(), event.data),)
 
 
@@ -109,14 +109,14 @@
     Permissive(
         "marked out",
         arrivals,
-        "is_refusing",
+        "refusal_reason",
         lambda state: None,
         Cell("stream", "arrived", ("data centre marked out", "entry frozen")),
     ),
     Permissive(
         "whole answer",
         calls,
-        "take_chunk",
+        "handle_chunk",
         _take_any_chunk,
         Cell("stream", "middle", ("reply doubled",)),
     ),
--- a/mintsaddle/decisions/admission/__init__.py
+++ b/mintsaddle/decisions/admission/__init__.py
@@ -1,18 +1,18 @@
-"""The endpoint daemon's exact word on how much its engine gets."""
+"""Admission control of an endpoint daemon for its engine."""
 
 from mintsaddle.decisions.admission._commands import (
-    Offer,
-    Verdict,
+    AdmissionDecision,
+    AdmissionResult,
     confirm_engine,
     drain_queue,
     expire_queue,
     finish,
-    lose_engine,
-    offer,
+    mark_engine_down,
     start_waiting,
+    try_admit,
 )
 from mintsaddle.decisions.admission._queries import (
-    CONFIRMATION_LIFE,
+    CONFIRMATION_TTL,
     current_limit,
     describe_load,
 )
@@ -20,26 +20,26 @@
     AdmissionRules,
     AdmissionState,
     Candidate,
-    Evidence,
-    Waiting,
+    EngineFeedback,
+    QueuedRequest,
 )
 
 __all__ = [
-    "CONFIRMATION_LIFE",
+    "CONFIRMATION_TTL",
+    "AdmissionDecision",
+    "AdmissionResult",
     "AdmissionRules",
     "AdmissionState",
     "Candidate",
-    "Evidence",
-    "Offer",
-    "Verdict",
-    "Waiting",
+    "EngineFeedback",
+    "QueuedRequest",
     "confirm_engine",
     "current_limit",
     "describe_load",
     "drain_queue",
     "expire_queue",
     "finish",
-    "lose_engine",
-    "offer",
+    "mark_engine_down",
     "start_waiting",
+    "try_admit",
 ]
--- a/mintsaddle/decisions/admission/_commands.py
+++ b/mintsaddle/decisions/admission/_commands.py
@@ -1,10 +1,10 @@
-"""Admitting, queueing and refusing; learning what the engine bears."""
+"""Admits, queues and refuses requests; adapts the concurrency limit."""
 
 import enum
 from typing import NamedTuple
 
 from mintsaddle.decisions.admission._queries import (
-    has_place,
+    has_capacity,
     order_queue,
     predict_wait,
 )
@@ -12,75 +12,78 @@
     AdmissionRules,
     AdmissionState,
     Candidate,
-    Evidence,
-    Running,
-    Waiting,
+    EngineFeedback,
+    QueuedRequest,
+    RunningRequest,
 )
 from mintsaddle.values import Boot, Instant
 
 _SLOW_FACTOR = 0.95
+"""Multiplies the extra limit after a response that missed the target."""
+
 _OVERLOAD_FACTOR = 0.5
+"""Multiplies the extra limit after an overload or a failure."""
 
 
-class Verdict(enum.Enum):
-    """What becomes of an arriving request."""
+class AdmissionDecision(enum.Enum):
+    """Whether an arriving request starts, waits or is refused."""
 
     START = "start"
     WAIT = "wait"
     REFUSE = "refuse"
 
 
-class Offer(NamedTuple):
-    """The answer to an arriving request."""
+class AdmissionResult(NamedTuple):
+    """The admission decision and its effect on the queue."""
 
-    verdict: Verdict
+    decision: AdmissionDecision
     displaced: tuple[str, ...] = ()
-    """Requests that had to leave the queue for it; they never started."""
+    """IDs of queued requests that were removed; none of them has started."""
 
 
-def offer(
+def try_admit(
     state: AdmissionState, rules: AdmissionRules, candidate: Candidate, now: Instant
-) -> Offer:
-    """Admit, queue or refuse an arriving request at once."""
+) -> AdmissionResult:
+    """Admit, queue or refuse an arriving request without blocking."""
     if state.engine_boot is None or candidate.start_by < now:
-        return Offer(Verdict.REFUSE)
-    waiting = Waiting(candidate, state.count_arrival())
-    if not state.waiting and has_place(state, rules, candidate, now):
+        return AdmissionResult(AdmissionDecision.REFUSE)
+    waiting = QueuedRequest(candidate, state.count_arrival())
+    if not state.waiting and has_capacity(state, rules, candidate, now):
         _start(state, waiting, now)
-        return Offer(Verdict.START)
+        return AdmissionResult(AdmissionDecision.START)
     state.put_waiting(waiting)
-    displaced = _shed_hopeless(state, rules, now)
+    displaced = _shed_predicted_late(state, rules, now)
     if candidate.request_id in displaced:
-        return Offer(
-            Verdict.REFUSE,
+        return AdmissionResult(
+            AdmissionDecision.REFUSE,
             tuple(name for name in displaced if name != candidate.request_id),
         )
-    return Offer(Verdict.WAIT, displaced)
+    return AdmissionResult(AdmissionDecision.WAIT, displaced)
 
 
 def finish(
     state: AdmissionState,
     rules: AdmissionRules,
     request_id: str,
-    evidence: Evidence,
+    feedback: EngineFeedback,
     now: Instant,
 ) -> tuple[str, ...]:
-    """Take an ended request away; return those that start in its place."""
+    """Remove an ended request; return the requests that start in its place."""
     running = state.drop_running(request_id)
     if running is None:
         state.drop_waiting(request_id)
     elif running.epoch == state.epoch:
-        _learn(state, rules, running, evidence, now)
+        _apply_feedback(state, rules, running, feedback, now)
     return start_waiting(state, rules, now)
 
 
 def confirm_engine(
     state: AdmissionState, boot: Boot, reported_limit: int | None, now: Instant
 ) -> tuple[str, ...]:
-    """Note that an engine's run was seen; return requests given back.
+    """Record a sighting of the engine; return the requests to hand back.
 
-    Requests queued for a warm engine are given back when it turns out to be
-    cold: most of them could not start in time before it.
+    If the engine has restarted, it is cold and the queue is emptied: most of
+    the queued requests could not start in time on a cold engine.
     """
     if boot == state.engine_boot:
         state.replace_engine(boot, max(now, state.confirmed_at), reported_limit)
@@ -90,8 +93,8 @@
     return drain_queue(state)
 
 
-def lose_engine(state: AdmissionState) -> tuple[str, ...]:
-    """Note that the engine is down; return the requests given back."""
+def mark_engine_down(state: AdmissionState) -> tuple[str, ...]:
+    """Record that the engine is down; return the requests to hand back."""
     if state.engine_boot is None:
         return drain_queue(state)
     state.start_epoch()
@@ -100,7 +103,7 @@
 
 
 def drain_queue(state: AdmissionState) -> tuple[str, ...]:
-    """Empty the queue; return the requests, none of which has started."""
+    """Empty the queue; return its requests, none of which has started."""
     names = tuple(state.waiting)
     for name in names:
         state.drop_waiting(name)
@@ -108,7 +111,7 @@
 
 
 def expire_queue(state: AdmissionState, now: Instant) -> tuple[str, ...]:
-    """Take out and return the requests whose time to start is over."""
+    """Remove and return the queued requests past their `start_by` time."""
     late = tuple(
         name
         for name, waiting in state.waiting.items()
@@ -122,11 +125,11 @@
 def start_waiting(
     state: AdmissionState, rules: AdmissionRules, now: Instant
 ) -> tuple[str, ...]:
-    """Start what may start; return the started requests in their order."""
+    """Start queued requests while capacity lasts; return them in order."""
     started = []
     while state.waiting:
         first = order_queue(state)[0]
-        if not has_place(state, rules, first.candidate, now):
+        if not has_capacity(state, rules, first.candidate, now):
             break
         state.drop_waiting(first.candidate.request_id)
         _start(state, first, now)
@@ -134,17 +137,18 @@
     return tuple(started)
 
 
-def _start(state: AdmissionState, waiting: Waiting, now: Instant) -> None:
-    state.put_running(Running(waiting.candidate, now, state.epoch))
+def _start(state: AdmissionState, waiting: QueuedRequest, now: Instant) -> None:
+    state.put_running(RunningRequest(waiting.candidate, now, state.epoch))
 
 
-def _shed_hopeless(
+def _shed_predicted_late(
     state: AdmissionState, rules: AdmissionRules, now: Instant
 ) -> tuple[str, ...]:
-    """Take out what can't start in time, in the queue's own order.
+    """Remove the requests that are predicted to miss their `start_by` time.
 
-    A newcomer of a small workspace goes before a large one's backlog, and the
-    backlog's tail is given back at once rather than when its time is over.
+    The queue is walked in start order, so that a new request of a small
+    workspace precedes the backlog of a large one. The tail of that backlog is
+    handed back at once rather than when it expires.
     """
     shed = []
     ahead = 0
@@ -159,19 +163,21 @@
     return tuple(shed)
 
 
-def _learn(
+def _apply_feedback(
     state: AdmissionState,
     rules: AdmissionRules,
-    running: Running,
-    evidence: Evidence,
+    running: RunningRequest,
+    feedback: EngineFeedback,
     now: Instant,
 ) -> None:
-    if evidence in (Evidence.GOOD, Evidence.SLOW):
-        state.record_time(now - running.started_at)
-    room = rules.limit - min(rules.cold_limit, rules.limit)
-    if evidence is Evidence.GOOD:
-        state.replace_gained(min(float(room), state.gained + rules.growth))
-    elif evidence is Evidence.SLOW:
-        state.replace_gained(state.gained * _SLOW_FACTOR)
-    elif evidence in (Evidence.OVERLOADED, Evidence.FAILED):
-        state.replace_gained(state.gained * _OVERLOAD_FACTOR)
+    if feedback in (EngineFeedback.GOOD, EngineFeedback.SLOW):
+        state.record_service_time(now - running.started_at)
+    max_extra = rules.limit - min(rules.cold_limit, rules.limit)
+    if feedback is EngineFeedback.GOOD:
+        state.replace_extra_limit(
+            min(float(max_extra), state.extra_limit + rules.growth)
+        )
+    elif feedback is EngineFeedback.SLOW:
+        state.replace_extra_limit(state.extra_limit * _SLOW_FACTOR)
+    elif feedback in (EngineFeedback.OVERLOADED, EngineFeedback.FAILED):
+        state.replace_extra_limit(state.extra_limit * _OVERLOAD_FACTOR)
--- a/mintsaddle/decisions/admission/_queries.py
+++ b/mintsaddle/decisions/admission/_queries.py
@@ -1,4 +1,4 @@
-"""Questions to the admission state."""
+"""Read-only queries on the admission state."""
 
 from collections import Counter
 from operator import itemgetter
@@ -7,33 +7,35 @@
     AdmissionRules,
     AdmissionState,
     Candidate,
-    Waiting,
+    QueuedRequest,
 )
 from mintsaddle.values import Instant, Load
 
-CONFIRMATION_LIFE = 0.5
-"""Seconds for which a sight of the engine's run holds.
+CONFIRMATION_TTL = 0.5
+"""Seconds for which a sighting of the engine's run stays valid.
 
-No engine restarts faster, so within them it is the run that was seen, or down.
+No engine restarts faster than this, so until then the engine is either still
+in the run that was seen or down.
 """
 
 
-_PLACES_FOR_ONE_KEPT = 32
+_SLOTS_PER_RESERVED_SLOT = 32
+"""One slot in this many is reserved for workspaces within their fair share."""
 
 
 def current_limit(state: AdmissionState, rules: AdmissionRules, now: Instant) -> int:
     """Return how many requests the engine may hold now.
 
-    Guards against a silent restart: a daemon that is itself old would give a
-    cold engine a warm one's share, which shows as an engine that falls over
-    again and again. Beyond the cold limit a run must have been seen lately.
+    The cold limit is exceeded only if the engine's run was seen recently.
+    Otherwise a daemon that missed an engine restart would send a cold engine
+    the load of a warm one, and the engine would crash again and again.
     """
     if state.engine_boot is None:
         return 0
     cold = min(rules.cold_limit, rules.limit)
-    if now - state.confirmed_at > CONFIRMATION_LIFE:
+    if now - state.confirmed_at > CONFIRMATION_TTL:
         return cold
-    limit = min(rules.limit, int(cold + state.gained))
+    limit = min(rules.limit, int(cold + state.extra_limit))
     if state.reported_limit is not None:
         limit = min(limit, state.reported_limit)
     return max(1, limit)
@@ -42,28 +44,28 @@
 def describe_load(
     state: AdmissionState, rules: AdmissionRules, now: Instant, *, leaving: bool
 ) -> Load:
-    """Return the exact load that rides on every answer to an entry."""
+    """Return the current load, which every reply to an entry carries."""
     limit = current_limit(state, rules, now)
     return Load(len(state.running), limit, len(state.waiting), leaving)
 
 
-def has_place(
+def has_capacity(
     state: AdmissionState, rules: AdmissionRules, candidate: Candidate, now: Instant
 ) -> bool:
     """Return whether a request may start now.
 
-    The last few places of a full engine are kept for workspaces that hold no
-    more than the mean for their share: a small one's newcomer then starts at
-    once instead of waiting for a large one's request to end.
+    The last few slots are reserved for workspaces that hold no more than the
+    mean for their share, so that a new request of a small workspace starts at
+    once instead of waiting for a request of a large one to end.
     """
     limit = current_limit(state, rules, now)
     free = limit - len(state.running)
-    if free > limit // _PLACES_FOR_ONE_KEPT:
+    if free > limit // _SLOTS_PER_RESERVED_SLOT:
         return True
-    return free > 0 and _holds_little(state, candidate)
+    return free > 0 and _is_within_fair_share(state, candidate)
 
 
-def _holds_little(state: AdmissionState, candidate: Candidate) -> bool:
+def _is_within_fair_share(state: AdmissionState, candidate: Candidate) -> bool:
     held = state.held_by(candidate.workspace)
     total = state.total_share() + (0.0 if held else candidate.share)
     return held / candidate.share <= len(state.running) / total
@@ -72,18 +74,18 @@
 def predict_wait(
     state: AdmissionState, rules: AdmissionRules, ahead: int, now: Instant
 ) -> float:
-    """Return the seconds until a place, with some requests ahead."""
+    """Return the predicted seconds of wait behind `ahead` other requests."""
     limit = max(1, current_limit(state, rules, now))
-    mean_time = state.mean_time or rules.target
-    return (ahead + 1) * mean_time / limit
+    mean_service_time = state.mean_service_time or rules.target
+    return (ahead + 1) * mean_service_time / limit
 
 
-def order_queue(state: AdmissionState) -> list[Waiting]:
-    """Return the queue in the order in which it starts.
+def order_queue(state: AdmissionState) -> list[QueuedRequest]:
+    """Return the queued requests in start order.
 
-    By priority; then the workspace that holds least of the engine for its
-    share (weighted max-min); then by arrival. A workspace's own later requests
-    count the earlier ones as held already.
+    The order is by priority, then by the workspace that holds the fewest slots
+    for its share (weighted max-min fairness), then by arrival. Earlier queued
+    requests of the same workspace count as already held.
     """
     ahead: Counter[str] = Counter()
     keyed = []
--- a/mintsaddle/decisions/admission/_state.py
+++ b/mintsaddle/decisions/admission/_state.py
@@ -1,4 +1,4 @@
-"""What an endpoint daemon knows of its engine and of the work before it."""
+"""State of admission control: the engine, its requests and the queue."""
 
 import enum
 from collections import Counter
@@ -9,7 +9,7 @@
 
 
 class AdmissionRules(NamedTuple):
-    """What the fleet text says of an endpoint's engine."""
+    """Limits for an endpoint's engine, taken from the fleet text."""
 
     cold_limit: int
     limit: int
@@ -19,110 +19,110 @@
 
 
 class Candidate(NamedTuple):
-    """What admission needs to know of one request."""
+    """The properties of a request that admission depends on."""
 
     request_id: str
     workspace: str
     share: float
-    """The workspace's weight."""
+    """The workspace's weight in fair queueing."""
 
     priority: int
-    """Higher goes first."""
+    """Requests of higher priority start first."""
 
     start_by: Instant
-    """A request that can't start by then is refused on arrival."""
+    """Latest start; a request predicted to miss it is refused on arrival."""
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request in the queue."""
 
     candidate: Candidate
     number: int
-    """Counts arrivals."""
+    """Sequence number of the arrival; breaks ties in the queue."""
 
 
-class Running(NamedTuple):
+class RunningRequest(NamedTuple):
     """A request that the engine holds."""
 
     candidate: Candidate
     started_at: Instant
     epoch: int
-    """Counts the engine's starts; an earlier one's answer is no evidence."""
+    """Engine epoch at the start; feedback from an earlier epoch is ignored."""
 
 
-class Evidence(enum.Enum):
-    """What an answer's end tells of the engine."""
+class EngineFeedback(enum.Enum):
+    """What the end of a response says about the engine's load."""
 
     GOOD = "good"
-    """Whole, with its first token within target."""
+    """Complete, with the first token within the target latency."""
 
     SLOW = "slow"
-    """Whole, but late."""
+    """Complete, but the first token was late."""
 
     OVERLOADED = "overloaded"
-    """The engine said that it has too much."""
+    """The engine reported that it is overloaded."""
 
     FAILED = "failed"
-    """The engine broke it off."""
+    """The engine aborted the response."""
 
     NONE = "none"
-    """Nothing: the caller left, say."""
+    """No information, for example because the caller disconnected."""
 
 
 class AdmissionState:
-    """One engine's limit, the requests it holds and the queue before it."""
+    """An engine's limit, its running requests and the queue in front of it."""
 
     def __init__(self) -> None:
         self._engine_boot: Boot | None = None
         self._confirmed_at: Instant = float("-inf")
         self._epoch = 0
         self._reported_limit: int | None = None
-        self._gained = 0.0
-        self._mean_time = 0.0
+        self._extra_limit = 0.0
+        self._mean_service_time = 0.0
         self._arrivals = 0
-        self._running: dict[str, Running] = {}
-        self._waiting: dict[str, Waiting] = {}
+        self._running: dict[str, RunningRequest] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._held: Counter[str] = Counter()
         self._shares: dict[str, float] = {}
 
     @property
     def engine_boot(self) -> Boot | None:
-        """The engine's run; None while it is down or unknown."""
+        """Identifies the engine's run; None while it is down or unknown."""
         return self._engine_boot
 
     @property
     def confirmed_at(self) -> Instant:
-        """When that run was last seen alive."""
+        """When the engine's run was last seen alive."""
         return self._confirmed_at
 
     @property
     def epoch(self) -> int:
-        """Counts the engine's starts as seen from here."""
+        """Number of engine restarts and failures seen by this daemon."""
         return self._epoch
 
     @property
     def reported_limit(self) -> int | None:
-        """What the engine itself says that it bears, if it does."""
+        """The concurrency limit that the engine itself reports, if any."""
         return self._reported_limit
 
     @property
-    def gained(self) -> float:
-        """Places gained by evidence since the engine's start."""
-        return self._gained
+    def extra_limit(self) -> float:
+        """Concurrency above the cold limit, earned since the engine start."""
+        return self._extra_limit
 
     @property
-    def mean_time(self) -> float:
-        """Running mean of a request's time at the engine; 0 at first."""
-        return self._mean_time
+    def mean_service_time(self) -> float:
+        """Moving average of the seconds a request runs; 0 before the first."""
+        return self._mean_service_time
 
     @property
-    def running(self) -> Mapping[str, Running]:
-        """Requests that the engine holds, by id."""
+    def running(self) -> Mapping[str, RunningRequest]:
+        """Requests that the engine holds, by request ID."""
         return self._running
 
     @property
-    def waiting(self) -> Mapping[str, Waiting]:
-        """Requests in the queue, by id."""
+    def waiting(self) -> Mapping[str, QueuedRequest]:
+        """Requests in the queue, by request ID."""
         return self._waiting
 
     def held_by(self, workspace: str) -> int:
@@ -130,62 +130,63 @@
         return self._held[workspace]
 
     def total_share(self) -> float:
-        """Return the summed shares of the workspaces that hold places."""
+        """Return the sum of the shares of workspaces with running requests."""
         return sum(self._shares[workspace] for workspace in self._held)
 
     def replace_engine(
         self, boot: Boot | None, confirmed_at: Instant, reported_limit: int | None
     ) -> None:
-        """Set what is known of the engine's run."""
+        """Set the engine's run, when it was seen and its reported limit."""
         self._engine_boot = boot
         self._confirmed_at = confirmed_at
         self._reported_limit = reported_limit
 
     def start_epoch(self) -> None:
-        """Begin a new engine start: nothing is known of what it bears."""
+        """Begin a new engine epoch and discard what was learned before it."""
         self._epoch += 1
-        self._gained = 0.0
+        self._extra_limit = 0.0
         self._reported_limit = None
 
-    def replace_gained(self, gained: float) -> None:
-        """Set the places gained by evidence."""
-        self._gained = gained
+    def replace_extra_limit(self, extra_limit: float) -> None:
+        """Set the concurrency above the cold limit."""
+        self._extra_limit = extra_limit
 
-    def record_time(self, seconds: float) -> None:
-        """Take a finished request's time into the running mean."""
-        blend = _BLEND if self._mean_time else 1.0
-        self._mean_time += blend * (seconds - self._mean_time)
+    def record_service_time(self, seconds: float) -> None:
+        """Add a finished request's run time to the moving average."""
+        smoothing = _SMOOTHING if self._mean_service_time else 1.0
+        self._mean_service_time += smoothing * (seconds - self._mean_service_time)
 
     def count_arrival(self) -> int:
-        """Return the number of this arrival."""
+        """Count an arrival; return its sequence number."""
         self._arrivals += 1
         return self._arrivals
 
-    def put_waiting(self, waiting: Waiting) -> None:
+    def put_waiting(self, waiting: QueuedRequest) -> None:
         """Add a request to the queue."""
         self._waiting[waiting.candidate.request_id] = waiting
 
-    def drop_waiting(self, request_id: str) -> Waiting | None:
-        """Take a request out of the queue."""
+    def drop_waiting(self, request_id: str) -> QueuedRequest | None:
+        """Remove and return a request from the queue, if it is there."""
         return self._waiting.pop(request_id, None)
 
-    def put_running(self, running: Running) -> None:
-        """Add a request that the engine gets."""
+    def put_running(self, running: RunningRequest) -> None:
+        """Add a request to those that the engine holds."""
         self._running[running.candidate.request_id] = running
         self._held[running.candidate.workspace] += 1
         self._shares[running.candidate.workspace] = running.candidate.share
 
-    def drop_running(self, request_id: str) -> Running | None:
-        """Take away a request that is over."""
+    def drop_running(self, request_id: str) -> RunningRequest | None:
+        """Remove and return a request from those that the engine holds."""
         running = self._running.pop(request_id, None)
         if running is not None:
             workspace = running.candidate.workspace
             self._held[workspace] -= 1
             if not self._held[workspace]:
-                # There are thousands; those that hold nothing are dropped.
+                # Keep no entries for idle workspaces; there are thousands.
                 del self._held[workspace]
                 del self._shares[workspace]
         return running
 
 
-_BLEND = 0.1
+_SMOOTHING = 0.1
+"""Weight of the newest sample in the moving average."""
--- a/mintsaddle/decisions/arrivals/__init__.py
+++ b/mintsaddle/decisions/arrivals/__init__.py
@@ -1,12 +1,12 @@
-"""What an endpoint daemon does with each arrival and each engine event."""
+"""Decides what an endpoint daemon does on each arrival and engine event."""
 
 from mintsaddle.decisions.arrivals._commands import (
-    arrive,
+    apply_configuration,
     cancel,
     close_engine_call,
-    confirm,
-    follow_text,
-    lose,
+    handle_arrival,
+    handle_engine_down,
+    handle_engine_up,
     start_leaving,
     tick,
 )
@@ -21,8 +21,8 @@
 )
 from mintsaddle.decisions.arrivals._queries import (
     describe_endpoint_load,
-    is_refusing,
     may_exit,
+    refusal_reason,
     rules_of,
 )
 from mintsaddle.decisions.arrivals._state import EndpointState
@@ -36,15 +36,15 @@
     "EngineResult",
     "RefuseArrival",
     "StartEngine",
-    "arrive",
+    "apply_configuration",
     "cancel",
     "close_engine_call",
-    "confirm",
     "describe_endpoint_load",
-    "follow_text",
-    "is_refusing",
-    "lose",
+    "handle_arrival",
+    "handle_engine_down",
+    "handle_engine_up",
     "may_exit",
+    "refusal_reason",
     "rules_of",
     "start_leaving",
     "tick",
--- a/mintsaddle/decisions/arrivals/_commands.py
+++ b/mintsaddle/decisions/arrivals/_commands.py
@@ -1,16 +1,16 @@
-"""Deciding on arrivals, and what follows from the engine's events."""
+"""Handles arriving attempts, engine events and configuration changes."""
 
 from mintsaddle.decisions.admission import (
+    AdmissionDecision,
     Candidate,
-    Evidence,
-    Verdict,
+    EngineFeedback,
     confirm_engine,
     drain_queue,
     expire_queue,
     finish,
-    lose_engine,
-    offer,
+    mark_engine_down,
     start_waiting,
+    try_admit,
 )
 from mintsaddle.decisions.arrivals._messages import (
     AcceptArrival,
@@ -21,7 +21,7 @@
     RefuseArrival,
     StartEngine,
 )
-from mintsaddle.decisions.arrivals._queries import is_refusing, rules_of
+from mintsaddle.decisions.arrivals._queries import refusal_reason, rules_of
 from mintsaddle.decisions.arrivals._state import EndpointState
 from mintsaddle.decisions.orders import (
     KeyVerdict,
@@ -38,25 +38,28 @@
 
 Actions = tuple[ArrivalAction, ...]
 
-_AWAITED = 4.0
-"""Seconds that a leaving daemon gives other homes to hear its last word."""
+_LEAVE_GRACE = 4.0
+"""Seconds that a leaving daemon waits at most for homes to take over keys."""
 
 _RESUMED_PRIORITY = 10
-"""Above all that callers may ask for."""
+"""Higher than any priority that callers may request."""
 
-_BACK_SOON = 1.0
-_BACK_LATER = 5.0
+_SHORT_RETRY_DELAY = 1.0
+"""Seconds after which a refused request may be retried."""
 
+_LONG_RETRY_DELAY = 5.0
+"""The same while the endpoint is leaving or marked out."""
 
-def arrive(state: EndpointState, arrival: Arrival, now: Instant) -> Actions:
-    """Decide on an arriving attempt; the answer is given at once."""
+
+def handle_arrival(state: EndpointState, arrival: Arrival, now: Instant) -> Actions:
+    """Decide on an arriving attempt without blocking."""
     if arrival.request_id in state.arrivals:
-        # A doubled message: counted as one, it would run as two, which shows
-        # as an engine that holds more than its limit.
+        # A duplicate message. It would run as a second request but count as
+        # one, so that the engine would hold more than its limit.
         return ()
     fleet = state.configuration.fleet
     if fleet is None:
-        return _refuse(arrival, _claim_nothing(arrival), Reason.NOT_SERVED, now)
+        return _refuse(arrival, _unserved_claim(arrival), Reason.NOT_SERVED, now)
     if arrival.key is not None:
         return _arrive_order(state, fleet, arrival, arrival.key, now)
     return _admit(state, fleet, arrival, now)
@@ -65,58 +68,59 @@
 def close_engine_call(
     state: EndpointState, request_id: str, result: EngineResult, now: Instant
 ) -> Actions:
-    """Note how the engine's handling of a request ended."""
+    """Record how the engine's handling of a request ended."""
     arrival = state.drop_arrival(request_id)
     rules = rules_of(state.configuration.fleet, state.vm)
-    started = finish(state.admission, rules, request_id, result.evidence, now)
+    started = finish(state.admission, rules, request_id, result.feedback, now)
     actions: Actions = ()
     if arrival is not None and arrival.key is not None:
-        actions = _close_key(state, arrival, result, now)
-    return (*actions, *_start_all(started))
+        actions = _close_keyed_order(state, arrival, result, now)
+    return (*actions, *_start_requests(started))
 
 
 def cancel(state: EndpointState, request_id: str, now: Instant) -> Actions:
-    """Note that nobody waits for an attempt any more.
+    """Cancel an attempt that nobody waits for any more.
 
-    An order is never cut off: it runs to its end, and its key tells its fate.
+    An order is never aborted: it runs to its end, and its outcome can be
+    looked up by its key.
     """
     arrival = state.arrivals.get(request_id)
     if arrival is None:
-        state.leave_joined(request_id)
+        state.drop_joined(request_id)
         return ()
     if arrival.key is not None:
         return ()
     state.drop_arrival(request_id)
     rules = rules_of(state.configuration.fleet, state.vm)
-    started = finish(state.admission, rules, request_id, Evidence.NONE, now)
-    return _start_all(started)
+    started = finish(state.admission, rules, request_id, EngineFeedback.NONE, now)
+    return _start_requests(started)
 
 
-def confirm(
+def handle_engine_up(
     state: EndpointState, boot: Boot, reported_limit: int | None, now: Instant
 ) -> Actions:
-    """Note that the engine's run was seen."""
+    """Record that the engine's run was seen."""
     returned = confirm_engine(state.admission, boot, reported_limit, now)
     rules = rules_of(state.configuration.fleet, state.vm)
     started = start_waiting(state.admission, rules, now)
-    given_back = _give_back(state, returned, Reason.ENGINE_DOWN, now)
-    return (*given_back, *_start_all(started))
+    refusals = _refuse_queued(state, returned, Reason.ENGINE_DOWN, now)
+    return (*refusals, *_start_requests(started))
 
 
-def lose(state: EndpointState, now: Instant) -> Actions:
-    """Note that the engine refused a connection or a status request."""
-    returned = lose_engine(state.admission)
-    return _give_back(state, returned, Reason.ENGINE_DOWN, now)
+def handle_engine_down(state: EndpointState, now: Instant) -> Actions:
+    """Handle an engine that refused a connection or a status request."""
+    returned = mark_engine_down(state.admission)
+    return _refuse_queued(state, returned, Reason.ENGINE_DOWN, now)
 
 
 def start_leaving(state: EndpointState, now: Instant) -> Actions:
-    """Refuse new work from now on and give the queue back."""
-    state.mark_leaving(now + _AWAITED)
-    return _give_back(state, drain_queue(state.admission), Reason.LEAVING, now)
+    """Refuse new requests from now on, and all those in the queue."""
+    state.mark_leaving(now + _LEAVE_GRACE)
+    return _refuse_queued(state, drain_queue(state.admission), Reason.LEAVING, now)
 
 
-def follow_text(state: EndpointState, now: Instant) -> Actions:
-    """Follow the text and marks in force, after either has changed."""
+def apply_configuration(state: EndpointState, now: Instant) -> Actions:
+    """Apply the fleet text and marks in force after either has changed."""
     fleet = state.configuration.fleet
     if fleet is None:
         return ()
@@ -129,14 +133,14 @@
             bound = fleet.clock_bound
             adopt_homes(state.orders, service.name, homes, service.bootstrap, bound)
             settle_alone(state.orders, service.name, bound, now)
-    if is_refusing(state) is None:
+    if refusal_reason(state) is None:
         return ()
     returned = drain_queue(state.admission)
-    return _give_back(state, returned, Reason.MARKED_OUT, now)
+    return _refuse_queued(state, returned, Reason.MARKED_OUT, now)
 
 
 def tick(state: EndpointState, now: Instant) -> Actions:
-    """Do what time alone brings: expired waiting, old ledger entries."""
+    """Expire queued requests and purge old ledger entries."""
     fleet = state.configuration.fleet
     if fleet is not None:
         bound = fleet.clock_bound
@@ -144,7 +148,10 @@
     late = expire_queue(state.admission, now)
     rules = rules_of(fleet, state.vm)
     started = start_waiting(state.admission, rules, now)
-    return (*_give_back(state, late, Reason.TOO_LATE, now), *_start_all(started))
+    return (
+        *_refuse_queued(state, late, Reason.TOO_LATE, now),
+        *_start_requests(started),
+    )
 
 
 def _arrive_order(
@@ -154,10 +161,10 @@
     key: OrderKey,
     now: Instant,
 ) -> Actions:
-    """Decide on an order, also one of a service that has moved away.
+    """Decide on an order, even if its service has moved to other homes.
 
-    A former home still knows the fate of what it ran, and is the only one
-    that can say of a key issued to it that it never will run.
+    A former home still knows the outcome of the orders it ran. Only the home
+    that issued a key can state that the key will never run.
     """
     verdict = decide_key(
         state.orders,
@@ -190,24 +197,24 @@
     service = fleet.services.get(arrival.service)
     if service is None or state.vm not in service.endpoints:
         return _refuse_new(state, arrival, Reason.NOT_SERVED, now)
-    reason = is_refusing(state)
+    reason = refusal_reason(state)
     if reason is not None:
         return _refuse_new(state, arrival, reason, now)
     if now >= arrival.deadline:
         return _refuse_new(state, arrival, Reason.TOO_LATE, now)
     candidate = _make_candidate(fleet, service, arrival, now)
     rules = rules_of(fleet, state.vm)
-    result = offer(state.admission, rules, candidate, now)
-    given_back = _give_back(state, result.displaced, Reason.FULL, now)
-    if result.verdict is Verdict.REFUSE:
+    result = try_admit(state.admission, rules, candidate, now)
+    refusals = _refuse_queued(state, result.displaced, Reason.FULL, now)
+    if result.decision is AdmissionDecision.REFUSE:
         down = state.admission.engine_boot is None
         reason = Reason.ENGINE_DOWN if down else Reason.FULL
-        return (*given_back, *_refuse_new(state, arrival, reason, now))
+        return (*refusals, *_refuse_new(state, arrival, reason, now))
     state.put_arrival(arrival)
     accept = AcceptArrival(arrival.request_id)
-    if result.verdict is Verdict.START:
-        return (*given_back, accept, StartEngine(arrival.request_id))
-    return (*given_back, accept)
+    if result.decision is AdmissionDecision.START:
+        return (*refusals, accept, StartEngine(arrival.request_id))
+    return (*refusals, accept)
 
 
 def _make_candidate(
@@ -217,8 +224,8 @@
     start_by = min(arrival.deadline, now + service.longest_queue)
     priority = arrival.priority
     if arrival.resumes:
-        # Refused, it would be cut in the middle, which the caller can't mend:
-        # it goes before all that has not begun, and waits if it must.
+        # Refusing it would truncate a response that the caller can't repair.
+        # It precedes all requests that haven't begun, and queues if needed.
         start_by = arrival.deadline
         priority = _RESUMED_PRIORITY
     return Candidate(
@@ -233,12 +240,12 @@
 def _refuse_new(
     state: EndpointState, arrival: Arrival, reason: Reason, now: Instant
 ) -> Actions:
-    """Refuse a request that hasn't started; a tombstone goes first."""
-    joined = _bury(state, arrival, reason, now)
+    """Refuse a request that hasn't started; record a tombstone first."""
+    joined = _write_tombstone(state, arrival, reason, now)
     return (*_refuse(arrival, Claim.NEVER, reason, now), *joined)
 
 
-def _bury(
+def _write_tombstone(
     state: EndpointState, arrival: Arrival, reason: Reason, now: Instant
 ) -> Actions:
     if arrival.key is None:
@@ -249,7 +256,7 @@
     return tuple(RefuseArrival(name, refusal) for name in joined)
 
 
-def _give_back(
+def _refuse_queued(
     state: EndpointState, request_ids: tuple[str, ...], reason: Reason, now: Instant
 ) -> Actions:
     actions: list[ArrivalAction] = []
@@ -260,12 +267,12 @@
     return tuple(actions)
 
 
-def _close_key(
+def _close_keyed_order(
     state: EndpointState, arrival: Arrival, result: EngineResult, now: Instant
 ) -> Actions:
-    """Write down how an order ended, and tell all who wait for it."""
+    """Record how an order ended and answer all arrivals that wait for it."""
     assert arrival.key is not None
-    status = _status_of(result)
+    status = _order_status(result)
     entry = close_order(
         state.orders,
         arrival.key,
@@ -278,9 +285,9 @@
     return tuple(AnswerArrival(name, entry) for name in waiting)
 
 
-def _status_of(result: EngineResult) -> OrderStatus:
-    """Return what is known: with no byte at the engine it did not run."""
-    if result.evidence in (Evidence.GOOD, Evidence.SLOW):
+def _order_status(result: EngineResult) -> OrderStatus:
+    """Return the status; an order of which no byte was sent did not run."""
+    if result.feedback in (EngineFeedback.GOOD, EngineFeedback.SLOW):
         return OrderStatus.DONE
     if not result.reached:
         return OrderStatus.TOMBSTONE
@@ -291,15 +298,17 @@
     return (RefuseArrival(arrival.request_id, _make_refusal(claim, reason, now)),)
 
 
-def _claim_nothing(arrival: Arrival) -> Claim:
-    """A service that isn't served here: another home may know the key."""
+def _unserved_claim(arrival: Arrival) -> Claim:
+    """Return NONE for a key: another home of the service may know it."""
     return Claim.NEVER if arrival.key is None else Claim.NONE
 
 
 def _make_refusal(claim: Claim, reason: Reason, now: Instant) -> Refusal:
-    later = reason in (Reason.LEAVING, Reason.MARKED_OUT)
-    return Refusal(claim, reason, now + (_BACK_LATER if later else _BACK_SOON))
+    is_long = reason in (Reason.LEAVING, Reason.MARKED_OUT)
+    return Refusal(
+        claim, reason, now + (_LONG_RETRY_DELAY if is_long else _SHORT_RETRY_DELAY)
+    )
 
 
-def _start_all(request_ids: tuple[str, ...]) -> Actions:
+def _start_requests(request_ids: tuple[str, ...]) -> Actions:
     return tuple(StartEngine(request_id) for request_id in request_ids)
--- a/mintsaddle/decisions/arrivals/_messages.py
+++ b/mintsaddle/decisions/arrivals/_messages.py
@@ -1,44 +1,44 @@
-"""Arrivals at an endpoint daemon, and what it does with them."""
+"""Input and output messages of an endpoint daemon's decisions."""
 
 from typing import NamedTuple, TypeAlias
 
-from mintsaddle.decisions.admission import Evidence
+from mintsaddle.decisions.admission import EngineFeedback
 from mintsaddle.decisions.orders import LedgerEntry
 from mintsaddle.values import Instant, OrderKey, Refusal
 
 
 class Arrival(NamedTuple):
-    """One attempt of one request, as it reached an endpoint daemon."""
+    """One attempt of a request as received by an endpoint daemon."""
 
     request_id: str
-    """Names this attempt; each attempt has its own."""
+    """Identifies the attempt; each attempt has its own ID."""
 
     service: str
     workspace: str
     priority: int
     deadline: Instant
     key: OrderKey | None
-    """The order's key; None for a call that may repeat."""
+    """The order's key; None for a request that may be repeated."""
 
     resumes: bool = False
-    """Whether the caller has a part of the answer already."""
+    """Whether the caller already has a part of the response."""
 
 
 class EngineResult(NamedTuple):
     """How the engine's handling of a request ended."""
 
-    evidence: Evidence
+    feedback: EngineFeedback
     reached: bool
     """Whether any byte of the request may have reached the engine."""
 
     http_status: int = 0
     content_type: str = ""
     body: bytes = b""
-    """An order's whole answer, for the ledger."""
+    """An order's complete response, for the ledger."""
 
 
 class StartEngine(NamedTuple):
-    """Give the request to the engine now."""
+    """Send the request to the engine now."""
 
     request_id: str
 
@@ -57,7 +57,7 @@
 
 
 class AnswerArrival(NamedTuple):
-    """Answer from the ledger."""
+    """Answer the request from the ledger."""
 
     request_id: str
     entry: LedgerEntry
--- a/mintsaddle/decisions/arrivals/_queries.py
+++ b/mintsaddle/decisions/arrivals/_queries.py
@@ -1,4 +1,4 @@
-"""Questions to an endpoint daemon's state."""
+"""Read-only queries on an endpoint daemon's state."""
 
 from mintsaddle.decisions.admission import AdmissionRules, describe_load
 from mintsaddle.decisions.arrivals._state import EndpointState
@@ -7,15 +7,15 @@
 from mintsaddle.fleet import Fleet
 from mintsaddle.values import Instant, Load, Reason
 
-CLOSED = AdmissionRules(1, 1, 0.0, 1.0, 0.0)
-"""Rules before any text lists this endpoint; nothing is admitted by them."""
+CLOSED_RULES = AdmissionRules(1, 1, 0.0, 1.0, 0.0)
+"""Placeholder until the text lists this endpoint; nothing is admitted then."""
 
 
 def rules_of(fleet: Fleet | None, endpoint: str) -> AdmissionRules:
-    """Return an engine's rules: the tightest of the services it serves."""
+    """Return an engine's rules: the strictest among the services it serves."""
     services = fleet.services_of(endpoint) if fleet else ()
     if not services:
-        return CLOSED
+        return CLOSED_RULES
     return AdmissionRules(
         cold_limit=min(service.cold_limit for service in services),
         limit=min(service.limit for service in services),
@@ -25,8 +25,8 @@
     )
 
 
-def is_refusing(state: EndpointState) -> Reason | None:
-    """Return why all new work is refused, or None when it isn't."""
+def refusal_reason(state: EndpointState) -> Reason | None:
+    """Return why all new requests are refused, or None if they aren't."""
     if state.leaving:
         return Reason.LEAVING
     if is_out(state.configuration, state.vm):
@@ -35,14 +35,14 @@
 
 
 def may_exit(state: EndpointState, now: Instant) -> bool:
-    """Return whether a leaving daemon has nothing left to do."""
+    """Return whether a leaving daemon may exit."""
     if state.arrivals or state.leave_by is None:
         return False
     return now >= state.leave_by or not is_awaited(state.orders)
 
 
 def describe_endpoint_load(state: EndpointState, now: Instant) -> Load:
-    """Return the load that rides on each answer."""
+    """Return the load that every reply to an entry carries."""
     rules = rules_of(state.configuration.fleet, state.vm)
-    leaving = is_refusing(state) is not None
+    leaving = refusal_reason(state) is not None
     return describe_load(state.admission, rules, now, leaving=leaving)
--- a/mintsaddle/decisions/arrivals/_state.py
+++ b/mintsaddle/decisions/arrivals/_state.py
@@ -10,7 +10,7 @@
 
 
 class EndpointState:
-    """One run of an endpoint daemon: its engine, its orders, who waits."""
+    """One run of an endpoint daemon: engine, orders and waiting arrivals."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
 
     @property
     def configuration(self) -> ConfigurationState:
-        """The text and marks in force."""
+        """The fleet text and marks in force."""
         return self._configuration
 
     @property
@@ -44,7 +44,7 @@
 
     @property
     def orders(self) -> OrdersState:
-        """The ledger and the standing among homes."""
+        """The ledger and this daemon's state among the homes."""
         return self._orders
 
     @property
@@ -54,36 +54,36 @@
 
     @property
     def leave_by(self) -> Instant | None:
-        """Until when a leaving daemon waits for homes that need its word."""
+        """Until when a leaving daemon waits for homes to take over keys."""
         return self._leave_by
 
     @property
     def arrivals(self) -> Mapping[str, Arrival]:
-        """Requests that are queued or at the engine, by id."""
+        """Requests that are queued or at the engine, by request ID."""
         return self._arrivals
 
     def mark_leaving(self, leave_by: Instant) -> None:
-        """Note that this daemon was told to stop."""
+        """Record that this daemon was told to stop."""
         self._leave_by = leave_by
 
     def put_arrival(self, arrival: Arrival) -> None:
-        """Remember a request until it is over."""
+        """Add a request that is queued or at the engine."""
         self._arrivals[arrival.request_id] = arrival
 
     def drop_arrival(self, request_id: str) -> Arrival | None:
-        """Forget a request that is over."""
+        """Remove and return a request that has ended, if it is known."""
         return self._arrivals.pop(request_id, None)
 
     def join(self, key: str, request_id: str) -> None:
-        """Let a later arrival wait for a pending order's answer."""
+        """Let a repeated arrival wait for a pending order's answer."""
         self._joined.setdefault(key, []).append(request_id)
 
     def take_joined(self, key: str) -> tuple[str, ...]:
-        """Take out the arrivals that wait for an order's answer."""
+        """Remove and return the arrivals that wait for an order's answer."""
         return tuple(self._joined.pop(key, ()))
 
-    def leave_joined(self, request_id: str) -> None:
-        """Forget a waiting arrival whose entry has gone."""
+    def drop_joined(self, request_id: str) -> None:
+        """Remove a joined arrival whose entry no longer waits for it."""
         for waiting in self._joined.values():
             if request_id in waiting:
                 waiting.remove(request_id)
--- a/mintsaddle/decisions/arrivals/tests/test_arrivals.py
+++ b/mintsaddle/decisions/arrivals/tests/test_arrivals.py
@@ -1,10 +1,10 @@
-"""Arrivals at an endpoint daemon: admission and orders together."""
+"""Tests arrivals at an endpoint daemon: admission combined with orders."""
 
 import random
 
 import pytest
 
-from mintsaddle.decisions.admission import Evidence
+from mintsaddle.decisions.admission import EngineFeedback
 from mintsaddle.decisions.arrivals import (
     AcceptArrival,
     AnswerArrival,
@@ -14,11 +14,11 @@
     EngineResult,
     RefuseArrival,
     StartEngine,
-    arrive,
+    apply_configuration,
     cancel,
     close_engine_call,
-    confirm,
-    follow_text,
+    handle_arrival,
+    handle_engine_up,
     start_leaving,
 )
 from mintsaddle.decisions.configuration import (
@@ -31,9 +31,9 @@
 
 NOW = 1_800_000_000.0
 BOOT = 5
-WHOLE = EngineResult(Evidence.GOOD, True, 200, "text/plain", b"done")
-BROKEN = EngineResult(Evidence.FAILED, True)
-UNSENT = EngineResult(Evidence.FAILED, False)
+COMPLETE = EngineResult(EngineFeedback.GOOD, True, 200, "text/plain", b"done")
+BROKEN = EngineResult(EngineFeedback.FAILED, True)
+UNSENT = EngineResult(EngineFeedback.FAILED, False)
 TEXT = """
 [fleet]
 name = arrivals
@@ -55,15 +55,15 @@
 """
 
 
-class Endpoint:
-    """An endpoint daemon's state, driven by hand."""
+class EndpointHarness:
+    """Applies events to an endpoint daemon's state."""
 
     def __init__(self) -> None:
         self.configuration = ConfigurationState()
         adopt_text(self.configuration, 1, TEXT)
         self.state = EndpointState("one", BOOT, NOW - 60.0, self.configuration)
-        follow_text(self.state, NOW)
-        confirm(self.state, 9, None, NOW)
+        apply_configuration(self.state, NOW)
+        handle_engine_up(self.state, 9, None, NOW)
         self.rng = random.Random(1)
 
     def key(self, boot: int = BOOT) -> OrderKey:
@@ -73,12 +73,14 @@
     def arrive(
         self, name: str, key: OrderKey | None = None
     ) -> tuple[ArrivalAction, ...]:
-        """Let an attempt arrive."""
+        """Handle an arriving attempt; return the actions."""
         service = "orders" if key else "letters"
-        return arrive(self.state, Arrival(name, service, "w", 0, NOW + 9, key), NOW)
+        return handle_arrival(
+            self.state, Arrival(name, service, "w", 0, NOW + 9, key), NOW
+        )
 
     def end(self, name: str, result: EngineResult) -> tuple[ArrivalAction, ...]:
-        """Let an engine call end."""
+        """End an engine call; return the actions."""
         return close_engine_call(self.state, name, result, NOW)
 
 
@@ -91,44 +93,46 @@
     @pytest.mark.parametrize(
         ("result", "status"),
         [
-            (WHOLE, OrderStatus.DONE),
+            (COMPLETE, OrderStatus.DONE),
             (BROKEN, OrderStatus.IN_DOUBT),
             (UNSENT, OrderStatus.TOMBSTONE),
         ],
     )
-    def test_second_arrival_gets_the_first_ones_fate(
+    def test_second_arrival_gets_the_first_ones_outcome(
         self, result: EngineResult, status: OrderStatus
     ) -> None:
-        endpoint = Endpoint()
+        endpoint = EndpointHarness()
         key = endpoint.key()
         assert endpoint.arrive("r1", key) == (AcceptArrival("r1"), StartEngine("r1"))
         assert endpoint.arrive("r2", key) == (AcceptArrival("r2"),)
         answers = endpoint.end("r1", result)
-        later = endpoint.arrive("r3", key)
-        told = [item for item in (*answers, *later) if isinstance(item, AnswerArrival)]
-        assert [item.request_id for item in told] == ["r1", "r2", "r3"]
-        assert {item.entry.status for item in told} == {status}
+        repeated = endpoint.arrive("r3", key)
+        answered = [
+            item for item in (*answers, *repeated) if isinstance(item, AnswerArrival)
+        ]
+        assert [item.request_id for item in answered] == ["r1", "r2", "r3"]
+        assert {item.entry.status for item in answered} == {status}
 
     def test_order_runs_on_when_its_entry_is_gone(self) -> None:
-        endpoint = Endpoint()
+        endpoint = EndpointHarness()
         endpoint.arrive("r1", endpoint.key())
         assert cancel(endpoint.state, "r1", NOW) == ()
         assert "r1" in endpoint.state.arrivals
 
     def test_key_of_another_run_is_in_doubt(self) -> None:
-        endpoint = Endpoint()
+        endpoint = EndpointHarness()
         found = refusal_of(endpoint.arrive("r1", endpoint.key(BOOT + 1)))
         assert found == (Claim.MAYBE, Reason.WRONG_HOME)
 
     def test_former_home_knows_its_keys(self) -> None:
-        """Guards against keys of a former home that nobody answers for."""
-        endpoint = Endpoint()
+        """Guards against keys that no home answers for after a move."""
+        endpoint = EndpointHarness()
         ran, issued = endpoint.key(), endpoint.key()
         endpoint.arrive("r1", ran)
-        endpoint.end("r1", WHOLE)
+        endpoint.end("r1", COMPLETE)
         moved = TEXT.replace("endpoints = one\nrepeat", "endpoints = two\nrepeat")
         adopt_text(endpoint.configuration, 2, moved)
-        follow_text(endpoint.state, NOW)
+        apply_configuration(endpoint.state, NOW)
         assert isinstance(endpoint.arrive("r2", ran)[0], AnswerArrival)
         found = refusal_of(endpoint.arrive("r3", issued))
         assert found == (Claim.NEVER, Reason.NOT_SERVED)
@@ -137,7 +141,7 @@
 
 class TestRefusals:
     def test_leaving_gives_the_queue_back(self) -> None:
-        endpoint = Endpoint()
+        endpoint = EndpointHarness()
         for name in ("r1", "r2", "r3"):
             endpoint.arrive(name)
         found = refusal_of(start_leaving(endpoint.state, NOW))
@@ -145,17 +149,17 @@
         assert refusal_of(endpoint.arrive("r4")) == (Claim.NEVER, Reason.LEAVING)
 
     def test_marked_out_refuses_whoever_sends(self) -> None:
-        endpoint = Endpoint()
+        endpoint = EndpointHarness()
         adopt_marks(endpoint.configuration, 1, "[marks]\ndata centre a = out\n")
         assert refusal_of(endpoint.arrive("r1")) == (Claim.NEVER, Reason.MARKED_OUT)
 
     def test_doubled_message_is_one_request(self) -> None:
-        endpoint = Endpoint()
+        endpoint = EndpointHarness()
         endpoint.arrive("r1")
         assert endpoint.arrive("r1") == ()
 
     def test_cancelled_request_makes_room(self) -> None:
-        endpoint = Endpoint()
+        endpoint = EndpointHarness()
         for name in ("r1", "r2", "r3"):
             endpoint.arrive(name)
         assert cancel(endpoint.state, "r1", NOW) == (StartEngine("r3"),)
--- a/mintsaddle/decisions/calls/__init__.py
+++ b/mintsaddle/decisions/calls/__init__.py
@@ -1,4 +1,4 @@
-"""One caller's request at an entry: attempts, chunks, and the final word."""
+"""One caller's request at an entry: attempts, chunks and the outcome."""
 
 from mintsaddle.decisions.calls._commands import handle_event, start_call
 from mintsaddle.decisions.calls._messages import (
@@ -6,7 +6,7 @@
     AttemptFailed,
     AttemptRefused,
     CallAction,
-    CallerLeft,
+    CallerDisconnected,
     CallEvent,
     CallRequest,
     CancelAttempt,
@@ -17,10 +17,10 @@
     FinishCall,
     HeadArrived,
     SendAttempt,
-    TimePassed,
+    TimerFired,
 )
 from mintsaddle.decisions.calls._queries import next_deadline
-from mintsaddle.decisions.calls._state import CallState, RouteFacts
+from mintsaddle.decisions.calls._state import CallState, RoutingContext
 
 __all__ = [
     "AttemptAccepted",
@@ -30,7 +30,7 @@
     "CallEvent",
     "CallRequest",
     "CallState",
-    "CallerLeft",
+    "CallerDisconnected",
     "CancelAttempt",
     "ChunkArrived",
     "DeliverChunk",
@@ -38,9 +38,9 @@
     "EndArrived",
     "FinishCall",
     "HeadArrived",
-    "RouteFacts",
+    "RoutingContext",
     "SendAttempt",
-    "TimePassed",
+    "TimerFired",
     "handle_event",
     "next_deadline",
     "start_call",
--- a/mintsaddle/decisions/calls/_answers.py
+++ b/mintsaddle/decisions/calls/_answers.py
@@ -1,6 +1,6 @@
-"""Passing an answer on: every chunk once, in order, to its end."""
+"""Delivers a response to the caller: each chunk once and in order."""
 
-from mintsaddle.decisions.calls._attempts import silent_at
+from mintsaddle.decisions.calls._attempts import next_timeout
 from mintsaddle.decisions.calls._endings import end_attempt, finish
 from mintsaddle.decisions.calls._messages import (
     CallActions,
@@ -10,72 +10,78 @@
     EndArrived,
     HeadArrived,
 )
-from mintsaddle.decisions.calls._state import Attempt, CallState, RouteFacts
+from mintsaddle.decisions.calls._state import Attempt, CallState, RoutingContext
 from mintsaddle.values import (
     Instant,
     Outcome,
 )
 
-_MOST_EARLY = 1024
+_MAX_BUFFERED_CHUNKS = 1024
+"""Bounds the memory for chunks that arrive out of order."""
 
 
-def take_head(
+def handle_head(
     state: CallState,
-    facts: RouteFacts,
+    context: RoutingContext,
     attempt: Attempt,
     event: HeadArrived,
     now: Instant,
 ) -> CallActions:
-    """Pass the status on, and chunks that came before it."""
+    """Deliver the status, then the chunks that arrived before it."""
     state.mark_reached()
-    state.replace_attempt(attempt._replace(silent_at=silent_at(state, now)))
+    state.replace_attempt(attempt._replace(timeout_at=next_timeout(state, now)))
     if state.head_delivered:
         return ()
-    state.mark_head()
+    state.mark_head_delivered()
     head = DeliverHead(event.status, event.content_type)
-    return (head, *_deliver(state), *_finish_if_whole(state, facts))
+    return (head, *_deliver(state), *_finish_if_complete(state, context))
 
 
-def take_chunk(
+def handle_chunk(
     state: CallState,
-    facts: RouteFacts,
+    context: RoutingContext,
     attempt: Attempt,
     event: ChunkArrived,
     now: Instant,
 ) -> CallActions:
-    """Deliver a chunk in its turn; keep an early one; drop a doubled one."""
-    state.replace_attempt(attempt._replace(silent_at=silent_at(state, now)))
-    if event.sequence <= state.delivered or len(state.early) >= _MOST_EARLY:
+    """Deliver a chunk in order; buffer an early one, drop a duplicate."""
+    state.replace_attempt(attempt._replace(timeout_at=next_timeout(state, now)))
+    if (
+        event.sequence <= state.delivered
+        or len(state.buffered_chunks) >= _MAX_BUFFERED_CHUNKS
+    ):
         return ()
-    state.put_early(event.sequence, event.data)
-    return (*_deliver(state), *_finish_if_whole(state, facts))
+    state.buffer_chunk(event.sequence, event.data)
+    return (*_deliver(state), *_finish_if_complete(state, context))
 
 
 def _deliver(state: CallState) -> CallActions:
     if not state.head_delivered:
         return ()
     actions = []
-    data = state.take_early(state.delivered + 1)
+    data = state.pop_buffered_chunk(state.delivered + 1)
     while data is not None:
         actions.append(DeliverChunk(state.count_delivered(), data))
-        data = state.take_early(state.delivered + 1)
+        data = state.pop_buffered_chunk(state.delivered + 1)
     return tuple(actions)
 
 
-def take_end(state: CallState, facts: RouteFacts, event: EndArrived) -> CallActions:
-    """Note how many chunks the answer has."""
-    state.put_end(event.total)
-    return (*_deliver(state), *_finish_if_whole(state, facts))
+def handle_end(
+    state: CallState, context: RoutingContext, event: EndArrived
+) -> CallActions:
+    """Record how many chunks the response has."""
+    state.set_end_count(event.total)
+    return (*_deliver(state), *_finish_if_complete(state, context))
 
 
-def _finish_if_whole(state: CallState, facts: RouteFacts) -> CallActions:
-    """Finish once every chunk was delivered.
+def _finish_if_complete(state: CallState, context: RoutingContext) -> CallActions:
+    """Finish the call once every chunk was delivered.
 
-    An end that overtook a chunk isn't enough: until the chunk comes, the
-    attempt's timeout runs, and then it is resumed elsewhere.
+    The end may arrive before the last chunk. The attempt's timeout then keeps
+    running; when it expires, the response is resumed at another endpoint.
     """
-    whole = state.head_delivered and state.end_count == state.delivered
-    if not whole or state.attempt is None:
+    complete = state.head_delivered and state.end_count == state.delivered
+    if not complete or state.attempt is None:
         return ()
-    end_attempt(state, facts, state.attempt)
+    end_attempt(state, context, state.attempt)
     return finish(state, Outcome.DONE, None, 0.0)
--- a/mintsaddle/decisions/calls/_attempts.py
+++ b/mintsaddle/decisions/calls/_attempts.py
@@ -1,4 +1,4 @@
-"""Making an attempt: where it goes and how long it may be silent."""
+"""Starts attempts: chooses the endpoint and sets the timeout."""
 
 from mintsaddle.decisions.calls._endings import give_up
 from mintsaddle.decisions.calls._messages import (
@@ -6,7 +6,7 @@
     SendAttempt,
 )
 from mintsaddle.decisions.calls._queries import is_order
-from mintsaddle.decisions.calls._state import Attempt, CallState, RouteFacts
+from mintsaddle.decisions.calls._state import Attempt, CallState, RoutingContext
 from mintsaddle.decisions.routing import (
     RouteRequest,
     choose_endpoint,
@@ -23,63 +23,68 @@
 )
 
 ACCEPT_TIMEOUT = 0.5
-"""Seconds for an endpoint daemon to accept; it decides at once, so a longer
-silence means that it is frozen or cut off."""
+"""Seconds for an endpoint daemon to accept. It decides without blocking, so
+a longer silence means that it is frozen or unreachable."""
 
 ORDER_TIMEOUT = 2.0
-"""The same for an order, which can't be tried elsewhere."""
+"""The same for an order, which can't be retried at another endpoint."""
 
-_TARGETS_OF_TIMEOUT = 3.0
-_MOST_ATTEMPTS = 6
+_SILENCE_TIMEOUT_FACTOR = 3.0
+"""Target latencies of silence, on top of the longest queue time, until an
+accepted attempt times out."""
+
+_MAX_ATTEMPTS = 6
 
 
 def try_next(
-    state: CallState, facts: RouteFacts, reason: Reason, now: Instant
+    state: CallState, context: RoutingContext, reason: Reason, now: Instant
 ) -> CallActions:
-    """Try the next endpoint or home, or give up."""
-    if state.attempts >= _MOST_ATTEMPTS:
-        return give_up(state, facts, reason, now)
+    """Send an attempt to the next endpoint or home, or give up."""
+    if state.attempts >= _MAX_ATTEMPTS:
+        return give_up(state, context, reason, now)
     if is_order(state):
-        return _try_home(state, facts, reason, now)
+        return _try_home(state, context, reason, now)
     route = RouteRequest(state.request.service, state.request.prefix, state.tried)
     endpoint = choose_endpoint(
-        facts.routing, facts.fleet, facts.marks, route, now, facts.rng
+        context.routing, context.fleet, context.marks, route, now, context.rng
     )
     if endpoint is None:
-        return give_up(state, facts, reason, now)
-    return _send(state, facts, endpoint, None, now)
+        return give_up(state, context, reason, now)
+    return _send(state, context, endpoint, None, now)
 
 
 def _try_home(
-    state: CallState, facts: RouteFacts, reason: Reason, now: Instant
+    state: CallState, context: RoutingContext, reason: Reason, now: Instant
 ) -> CallActions:
     key = state.request.key
     if key is not None:
-        home = _home_of(state, facts, key)
+        home = _home_of(state, context, key)
         if home is None or home in state.tried:
-            return give_up(state, facts, reason, now)
-        return _send(state, facts, home, key, now)
+            return give_up(state, context, reason, now)
+        return _send(state, context, home, key, now)
     route = RouteRequest(state.request.service, "", state.tried)
-    drawn = draw_key(facts.routing, facts.fleet, facts.marks, route, now, facts.rng)
+    drawn = draw_key(
+        context.routing, context.fleet, context.marks, route, now, context.rng
+    )
     if drawn is None:
-        return give_up(state, facts, reason, now)
-    return _send(state, facts, drawn.home, drawn.key, now)
+        return give_up(state, context, reason, now)
+    return _send(state, context, drawn.home, drawn.key, now)
 
 
-def _home_of(state: CallState, facts: RouteFacts, key: OrderKey) -> str | None:
+def _home_of(state: CallState, context: RoutingContext, key: OrderKey) -> str | None:
     service = state.request.service
     if key.origin is KeyOrigin.BROUGHT:
         return find_home(list_homes(service).homes, key.text)
-    named = [name for name in facts.fleet.endpoints if home_tag(name) == key.home_tag]
+    named = [name for name in context.fleet.endpoints if home_tag(name) == key.home_tag]
     for name in named:
-        if facts.routing.view(name).boot == key.boot:
+        if context.routing.view(name).boot == key.boot:
             return name
     return named[0] if named else None
 
 
 def _send(
     state: CallState,
-    facts: RouteFacts,
+    context: RoutingContext,
     endpoint: str,
     key: OrderKey | None,
     now: Instant,
@@ -87,26 +92,27 @@
     timeout = ORDER_TIMEOUT if is_order(state) else ACCEPT_TIMEOUT
     number = state.attempts + 1
     state.begin_attempt(Attempt(number, endpoint, key, now + timeout))
-    record_sent(facts.routing, endpoint)
+    record_sent(context.routing, endpoint)
     return (SendAttempt(number, endpoint, key, state.delivered),)
 
 
-def accept(state: CallState, attempt: Attempt, now: Instant) -> CallActions:
-    """Note that the endpoint daemon has taken the attempt."""
-    # It may only wait in the queue there: a refusal that follows still says
-    # that it didn't run. Any other end of the attempt leaves that open.
+def handle_accepted(state: CallState, attempt: Attempt, now: Instant) -> CallActions:
+    """Record that the endpoint daemon has accepted the attempt."""
+    # The attempt may still be queued: a later refusal means that it didn't
+    # run. After any other end it is unknown whether it ran.
     state.replace_attempt(
-        attempt._replace(accepted=True, silent_at=silent_at(state, now))
+        attempt._replace(accepted=True, timeout_at=next_timeout(state, now))
     )
     return ()
 
 
-def silent_at(state: CallState, now: Instant) -> Instant:
-    """Return when an accepted attempt counts as silent.
+def next_timeout(state: CallState, now: Instant) -> Instant:
+    """Return when an accepted attempt times out if nothing more arrives.
 
-    An order is waited for until its deadline: it can't be tried elsewhere.
+    An order times out at its deadline only, as it can't be retried at another
+    endpoint.
     """
     service = state.request.service
     if is_order(state):
         return state.request.deadline
-    return now + service.longest_queue + _TARGETS_OF_TIMEOUT * service.target
+    return now + service.longest_queue + _SILENCE_TIMEOUT_FACTOR * service.target
--- a/mintsaddle/decisions/calls/_commands.py
+++ b/mintsaddle/decisions/calls/_commands.py
@@ -1,22 +1,27 @@
-"""Moving a call on by one event."""
+"""Starts calls and dispatches their events."""
 
-from mintsaddle.decisions.calls._answers import take_chunk, take_end, take_head
-from mintsaddle.decisions.calls._attempts import accept, try_next
+from mintsaddle.decisions.calls._answers import handle_chunk, handle_end, handle_head
+from mintsaddle.decisions.calls._attempts import handle_accepted, try_next
 from mintsaddle.decisions.calls._endings import give_up
-from mintsaddle.decisions.calls._failures import fail, leave, pass_time, refuse
+from mintsaddle.decisions.calls._failures import (
+    handle_caller_disconnected,
+    handle_failed,
+    handle_refused,
+    handle_timer,
+)
 from mintsaddle.decisions.calls._messages import (
     AttemptAccepted,
     AttemptFailed,
     AttemptRefused,
     CallActions,
-    CallerLeft,
+    CallerDisconnected,
     CallEvent,
     ChunkArrived,
     EndArrived,
     HeadArrived,
-    TimePassed,
+    TimerFired,
 )
-from mintsaddle.decisions.calls._state import CallState, RouteFacts
+from mintsaddle.decisions.calls._state import CallState, RoutingContext
 from mintsaddle.decisions.routing import (
     record_request,
 )
@@ -26,42 +31,42 @@
 )
 
 
-def start_call(state: CallState, facts: RouteFacts, now: Instant) -> CallActions:
-    """Begin a call: send its first attempt, or refuse it at once."""
-    record_request(facts.routing)
+def start_call(state: CallState, context: RoutingContext, now: Instant) -> CallActions:
+    """Start a call: send its first attempt or refuse it."""
+    record_request(context.routing)
     if now >= state.request.deadline:
-        return give_up(state, facts, Reason.TOO_LATE, now)
-    return try_next(state, facts, Reason.NO_ENDPOINT, now)
+        return give_up(state, context, Reason.TOO_LATE, now)
+    return try_next(state, context, Reason.NO_ENDPOINT, now)
 
 
 def handle_event(
-    state: CallState, facts: RouteFacts, event: CallEvent, now: Instant
+    state: CallState, context: RoutingContext, event: CallEvent, now: Instant
 ) -> CallActions:
-    """Move a call on by one event; return what to do.
+    """Apply an event to a call; return the actions to perform.
 
-    An event of an attempt that isn't the present one is late or doubled and
-    changes nothing: the caller gets the answer of one attempt only.
+    Events of any attempt but the current one are late or duplicates and are
+    ignored, so that the caller gets the response of one attempt only.
     """
     if state.over:
         return ()
     match event:
-        case CallerLeft():
-            return leave(state, facts)
-        case TimePassed():
-            return pass_time(state, facts, now)
+        case CallerDisconnected():
+            return handle_caller_disconnected(state, context)
+        case TimerFired():
+            return handle_timer(state, context, now)
     attempt = state.attempt
     if attempt is None or event.attempt != attempt.number:
         return ()
     match event:
         case AttemptAccepted():
-            return accept(state, attempt, now)
+            return handle_accepted(state, attempt, now)
         case AttemptRefused():
-            return refuse(state, facts, attempt, event, now)
+            return handle_refused(state, context, attempt, event, now)
         case AttemptFailed():
-            return fail(state, facts, attempt, event.sent, now)
+            return handle_failed(state, context, attempt, event.sent, now)
         case HeadArrived():
-            return take_head(state, facts, attempt, event, now)
+            return handle_head(state, context, attempt, event, now)
         case ChunkArrived():
-            return take_chunk(state, facts, attempt, event, now)
+            return handle_chunk(state, context, attempt, event, now)
         case EndArrived():
-            return take_end(state, facts, event)
+            return handle_end(state, context, event)
--- a/mintsaddle/decisions/calls/_endings.py
+++ b/mintsaddle/decisions/calls/_endings.py
@@ -1,11 +1,11 @@
-"""Ending attempts and giving the final word."""
+"""Ends attempts and reports the outcome of calls."""
 
 from mintsaddle.decisions.calls._messages import (
     CallActions,
     FinishCall,
 )
 from mintsaddle.decisions.calls._queries import is_order
-from mintsaddle.decisions.calls._state import Attempt, CallState, RouteFacts
+from mintsaddle.decisions.calls._state import Attempt, CallState, RoutingContext
 from mintsaddle.decisions.routing import (
     RouteRequest,
     draw_key,
@@ -18,37 +18,44 @@
     Reason,
 )
 
-_COME_BACK = 1.0
-_COME_BACK_SPREAD = 4.0
+_RETRY_DELAY = 1.0
+"""Minimum seconds before the caller retries."""
 
+_RETRY_JITTER = 4.0
+"""Maximum random seconds added so that callers don't all retry at once."""
 
-def end_attempt(state: CallState, facts: RouteFacts, attempt: Attempt) -> None:
-    """Note that the present attempt is over."""
-    record_finished(facts.routing, attempt.endpoint)
+
+def end_attempt(state: CallState, context: RoutingContext, attempt: Attempt) -> None:
+    """Record that the current attempt has ended."""
+    record_finished(context.routing, attempt.endpoint)
     state.replace_attempt(None)
 
 
 def give_up(
-    state: CallState, facts: RouteFacts, reason: Reason, now: Instant
+    state: CallState, context: RoutingContext, reason: Reason, now: Instant
 ) -> CallActions:
-    """Give the final word at once, with a spread-out time to come back."""
-    spread = _COME_BACK_SPREAD * facts.rng.random()
-    retry_at = max(state.retry_at, now + _COME_BACK) + spread
+    """Finish the call without an answer, with a jittered retry time."""
+    jitter = _RETRY_JITTER * context.rng.random()
+    retry_at = max(state.retry_at, now + _RETRY_DELAY) + jitter
     outcome = _final_outcome(state, reason)
     fresh = None
     if outcome is Outcome.NOT_RUN and is_order(state):
-        fresh = _draw_fresh(state, facts, now)
+        fresh = _draw_fresh_key(state, context, now)
     return finish(state, outcome, reason, retry_at, fresh)
 
 
-def _draw_fresh(state: CallState, facts: RouteFacts, now: Instant) -> OrderKey | None:
-    """Return a key with which the caller's next try reaches a living home.
+def _draw_fresh_key(
+    state: CallState, context: RoutingContext, now: Instant
+) -> OrderKey | None:
+    """Return a key with which the caller's next try reaches a live home.
 
-    A key that the caller draws itself may belong to the very home that is
-    leaving, and would end in doubt when that home comes back.
+    A key that the caller generates itself may belong to the home that is
+    leaving. Its outcome would be in doubt when that home comes back.
     """
     route = RouteRequest(state.request.service, "", state.tried)
-    drawn = draw_key(facts.routing, facts.fleet, facts.marks, route, now, facts.rng)
+    drawn = draw_key(
+        context.routing, context.fleet, context.marks, route, now, context.rng
+    )
     return drawn.key if drawn else None
 
 
@@ -59,8 +66,8 @@
     brought = state.request.key is not None
     refused_by_home = state.attempts > 0 and reason is not Reason.UNREACHABLE
     if order and brought and not refused_by_home:
-        # Only the home may say not-run for a key that the caller has: another
-        # entry may have delivered an earlier attempt.
+        # Only the home can state that a key held by the caller did not run,
+        # since another entry may have delivered an earlier attempt.
         return Outcome.ASK_AGAIN
     return Outcome.NOT_RUN
 
@@ -72,8 +79,8 @@
     retry_at: Instant,
     fresh: OrderKey | None = None,
 ) -> CallActions:
-    """Give the final word."""
+    """Close the call and report its outcome to the caller."""
     count = state.delivered
-    key = state.request.key or state.drawn
+    key = state.request.key or state.last_key
     state.close()
     return (FinishCall(outcome, reason, retry_at, count, key, fresh),)
--- a/mintsaddle/decisions/calls/_messages.py
+++ b/mintsaddle/decisions/calls/_messages.py
@@ -1,4 +1,4 @@
-"""Events that a call meets and actions that it asks for."""
+"""Events that a call handles and actions that it returns."""
 
 from typing import NamedTuple, TypeAlias
 
@@ -7,7 +7,7 @@
 
 
 class CallRequest(NamedTuple):
-    """A caller's request as it arrived."""
+    """A caller's request as received."""
 
     request_id: str
     service: Service
@@ -15,10 +15,10 @@
     priority: int
     deadline: Instant
     prefix: str = ""
-    """Names the prompt prefix, for the engines' caches."""
+    """Identifies the prompt prefix, for routing to engines that cache it."""
 
     key: OrderKey | None = None
-    """The key that the caller brought, or was issued before."""
+    """The key that the caller chose or was issued before."""
 
 
 class AttemptAccepted(NamedTuple):
@@ -28,14 +28,14 @@
 
 
 class AttemptRefused(NamedTuple):
-    """The endpoint daemon doesn't run the attempt."""
+    """The endpoint daemon has refused the attempt."""
 
     attempt: int
     refusal: Refusal
 
 
 class AttemptFailed(NamedTuple):
-    """The way to the endpoint daemon broke."""
+    """The connection to the endpoint daemon failed."""
 
     attempt: int
     sent: bool
@@ -43,7 +43,7 @@
 
 
 class HeadArrived(NamedTuple):
-    """The answer's status came."""
+    """The response's status arrived."""
 
     attempt: int
     status: int
@@ -51,29 +51,29 @@
 
 
 class ChunkArrived(NamedTuple):
-    """A piece of the answer came."""
+    """A chunk of the response arrived."""
 
     attempt: int
     sequence: int
-    """Counts the whole answer's chunks from 1, over all attempts."""
+    """Chunk number in the complete response, from 1, across all attempts."""
 
     data: bytes
 
 
 class EndArrived(NamedTuple):
-    """The answer's end came."""
+    """The end of the response arrived."""
 
     attempt: int
     total: int
-    """Chunks of the whole answer."""
+    """Number of chunks of the complete response."""
 
 
-class TimePassed(NamedTuple):
-    """A moment that the call asked to be woken at has come."""
+class TimerFired(NamedTuple):
+    """The time returned by `next_deadline` has come."""
 
 
-class CallerLeft(NamedTuple):
-    """The caller hung up."""
+class CallerDisconnected(NamedTuple):
+    """The caller closed the connection."""
 
 
 CallEvent: TypeAlias = (
@@ -83,8 +83,8 @@
     | HeadArrived
     | ChunkArrived
     | EndArrived
-    | TimePassed
-    | CallerLeft
+    | TimerFired
+    | CallerDisconnected
 )
 
 
@@ -95,44 +95,44 @@
     endpoint: str
     key: OrderKey | None
     resume_after: int
-    """Chunks that the caller has already; the engine goes on after them."""
+    """Chunks that the caller already has; the engine resumes after them."""
 
 
 class CancelAttempt(NamedTuple):
-    """Tell the endpoint daemon that nobody waits for an attempt."""
+    """Tell the endpoint daemon that nobody waits for the attempt."""
 
     attempt: int
     endpoint: str
 
 
 class DeliverHead(NamedTuple):
-    """Give the status to the caller."""
+    """Send the status to the caller."""
 
     status: int
     content_type: str
 
 
 class DeliverChunk(NamedTuple):
-    """Give a chunk to the caller."""
+    """Send a chunk to the caller."""
 
     sequence: int
     data: bytes
 
 
 class FinishCall(NamedTuple):
-    """Give the final word to the caller."""
+    """Report the outcome to the caller and end the call."""
 
     outcome: Outcome
     reason: Reason | None
     retry_at: Instant
-    """When to come back; 0 when there is no need."""
+    """When to retry; 0 if there is no need."""
 
     delivered: int
-    """Chunks delivered."""
+    """Number of chunks delivered."""
 
     key: OrderKey | None
     fresh: OrderKey | None = None
-    """For an order that did not run: a key for a home that answers now."""
+    """For an order that did not run: a key of a home that is answering."""
 
 
 CallAction: TypeAlias = (
@@ -140,4 +140,4 @@
 )
 
 CallActions: TypeAlias = tuple[CallAction, ...]
-"""What to do, in order."""
+"""Actions to perform, in order."""
--- a/mintsaddle/decisions/calls/_queries.py
+++ b/mintsaddle/decisions/calls/_queries.py
@@ -1,14 +1,14 @@
-"""Questions to a call."""
+"""Read-only queries on a call."""
 
 from mintsaddle.decisions.calls._state import CallState
 from mintsaddle.values import Instant
 
 
 def next_deadline(state: CallState) -> Instant:
-    """Return when the call wants to be woken if nothing arrives before."""
+    """Return when `TimerFired` is due unless another event comes first."""
     if state.attempt is None:
         return state.request.deadline
-    return min(state.request.deadline, state.attempt.silent_at)
+    return min(state.request.deadline, state.attempt.timeout_at)
 
 
 def is_order(state: CallState) -> bool:
@@ -16,11 +16,11 @@
     return not state.request.service.repeatable
 
 
-def may_start_over(state: CallState) -> bool:
-    """Return whether another attempt could still give a whole answer.
+def can_complete_elsewhere(state: CallState) -> bool:
+    """Return whether another attempt can still complete the response.
 
-    A caller that has a part of an answer can only be served on by an engine
-    that goes on after it: another engine's words would not fit to it.
+    Once the caller has a part of the response, only an engine that can resume
+    after that part may continue it; a new response would not match the part.
     """
     untouched = not state.head_delivered and state.delivered == 0
     return untouched or state.request.service.resumable
--- a/mintsaddle/decisions/calls/_state.py
+++ b/mintsaddle/decisions/calls/_state.py
@@ -1,4 +1,4 @@
-"""Where one call stands."""
+"""State of a call at an entry."""
 
 import random
 from collections.abc import Mapping
@@ -10,8 +10,8 @@
 from mintsaddle.values import Instant, OrderKey
 
 
-class RouteFacts(NamedTuple):
-    """What an entry knows when a call decides."""
+class RoutingContext(NamedTuple):
+    """The fleet, marks and routing state that a call's decisions use."""
 
     fleet: Fleet
     marks: Marks
@@ -20,19 +20,19 @@
 
 
 class Attempt(NamedTuple):
-    """The attempt that is under way."""
+    """An attempt in progress."""
 
     number: int
     endpoint: str
     key: OrderKey | None
-    silent_at: Instant
-    """When it counts as silent if nothing is heard before."""
+    timeout_at: Instant
+    """When the attempt times out if nothing arrives before."""
 
     accepted: bool = False
 
 
 class CallState:
-    """One call: its present attempt, what was tried, what was delivered."""
+    """A call: its current attempt, endpoints tried and chunks delivered."""
 
     def __init__(self, request: CallRequest) -> None:
         self._request = request
@@ -42,9 +42,9 @@
         self._reached = False
         self._head_delivered = False
         self._delivered = 0
-        self._early: dict[int, bytes] = {}
+        self._buffered_chunks: dict[int, bytes] = {}
         self._end_count: int | None = None
-        self._drawn: OrderKey | None = None
+        self._last_key: OrderKey | None = None
         self._retry_at: Instant = 0.0
         self._over = False
 
@@ -55,17 +55,17 @@
 
     @property
     def attempt(self) -> Attempt | None:
-        """The attempt under way, if any."""
+        """The current attempt, if any."""
         return self._attempt
 
     @property
     def attempts(self) -> int:
-        """Attempts made."""
+        """Number of attempts made."""
         return self._attempts
 
     @property
     def tried(self) -> frozenset[str]:
-        """Endpoints that were tried."""
+        """Endpoints to which an attempt was sent."""
         return self._tried
 
     @property
@@ -80,77 +80,77 @@
 
     @property
     def delivered(self) -> int:
-        """Chunks that the caller has."""
+        """Number of chunks delivered to the caller."""
         return self._delivered
 
     @property
-    def early(self) -> Mapping[int, bytes]:
-        """Chunks that came before their turn, by sequence."""
-        return self._early
+    def buffered_chunks(self) -> Mapping[int, bytes]:
+        """Chunks that arrived out of order, by sequence number."""
+        return self._buffered_chunks
 
     @property
     def end_count(self) -> int | None:
-        """Chunks of the whole answer, once its end has come."""
+        """Number of chunks of the response, once its end has arrived."""
         return self._end_count
 
     @property
-    def drawn(self) -> OrderKey | None:
-        """The last key drawn here for the caller."""
-        return self._drawn
+    def last_key(self) -> OrderKey | None:
+        """The key of the last attempt, brought by the caller or drawn here."""
+        return self._last_key
 
     @property
     def retry_at(self) -> Instant:
-        """The latest word of an endpoint on when to come back."""
+        """When to retry, according to the last endpoint that refused."""
         return self._retry_at
 
     @property
     def over(self) -> bool:
-        """Whether the final word was given."""
+        """Whether the call has ended."""
         return self._over
 
     def begin_attempt(self, attempt: Attempt) -> None:
-        """Make an attempt the present one."""
+        """Make an attempt the current one and discard buffered chunks."""
         self._attempt = attempt
         self._attempts = attempt.number
         self._tried = self._tried | {attempt.endpoint}
-        self._drawn = attempt.key
-        self._early = {}
+        self._last_key = attempt.key
+        self._buffered_chunks = {}
         self._end_count = None
 
     def replace_attempt(self, attempt: Attempt | None) -> None:
-        """Set the present attempt."""
+        """Set or clear the current attempt."""
         self._attempt = attempt
 
     def mark_reached(self) -> None:
-        """Note that an attempt may have reached an engine."""
+        """Record that an attempt may have reached an engine."""
         self._reached = True
 
-    def mark_head(self) -> None:
-        """Note that the caller has the status."""
+    def mark_head_delivered(self) -> None:
+        """Record that the caller has the status."""
         self._head_delivered = True
 
     def count_delivered(self) -> int:
-        """Count one more delivered chunk; return its sequence."""
+        """Count a delivered chunk; return its sequence number."""
         self._delivered += 1
         return self._delivered
 
-    def put_early(self, sequence: int, data: bytes) -> None:
-        """Keep a chunk until its turn."""
-        self._early[sequence] = data
+    def buffer_chunk(self, sequence: int, data: bytes) -> None:
+        """Keep a chunk until those before it are delivered."""
+        self._buffered_chunks[sequence] = data
 
-    def take_early(self, sequence: int) -> bytes | None:
-        """Take out the chunk whose turn it is, if it is here."""
-        return self._early.pop(sequence, None)
+    def pop_buffered_chunk(self, sequence: int) -> bytes | None:
+        """Remove and return a buffered chunk, if it has arrived."""
+        return self._buffered_chunks.pop(sequence, None)
 
-    def put_end(self, count: int) -> None:
-        """Note how many chunks the answer has."""
+    def set_end_count(self, count: int) -> None:
+        """Record how many chunks the response has."""
         self._end_count = count
 
-    def put_retry_at(self, retry_at: Instant) -> None:
-        """Note an endpoint's word on when to come back."""
+    def set_retry_at(self, retry_at: Instant) -> None:
+        """Set the retry time that an endpoint gave."""
         self._retry_at = retry_at
 
     def close(self) -> None:
-        """Note that the final word was given."""
+        """Record that the call has ended."""
         self._attempt = None
         self._over = True
--- a/mintsaddle/decisions/calls/tests/test_calls.py
+++ b/mintsaddle/decisions/calls/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls at an entry: attempts, chunks and the final word."""
+"""Tests calls at an entry: attempts, chunks and outcomes."""
 
 import random
 
@@ -8,7 +8,7 @@
     AttemptAccepted,
     AttemptFailed,
     AttemptRefused,
-    CallerLeft,
+    CallerDisconnected,
     CallEvent,
     CallRequest,
     CallState,
@@ -18,9 +18,9 @@
     EndArrived,
     FinishCall,
     HeadArrived,
-    RouteFacts,
+    RoutingContext,
     SendAttempt,
-    TimePassed,
+    TimerFired,
     handle_event,
     start_call,
 )
@@ -59,37 +59,37 @@
 UNSENT = AttemptFailed(1, sent=False)
 
 
-class Driven:
-    """A call that is driven by hand."""
+class CallHarness:
+    """Applies events to a call and collects its actions."""
 
     def __init__(self, service: str, key: OrderKey | None = None) -> None:
         routing = RoutingState("entry", "a")
         for name in FLEET.endpoints:
             record_load(routing, name, 5, Load(0, 4, 0, False), NOW)
-        self.facts = RouteFacts(FLEET, NO_MARKS, routing, random.Random(1))
+        self.context = RoutingContext(FLEET, NO_MARKS, routing, random.Random(1))
         request = CallRequest("r", FLEET.services[service], "w", 0, NOW + 10, key=key)
         self.state = CallState(request)
         self.actions: list[CallAction] = []
-        self.actions += start_call(self.state, self.facts, NOW)
+        self.actions += start_call(self.state, self.context, NOW)
 
-    def see(self, *events: CallEvent, now: float = NOW) -> "Driven":
-        """Let events come."""
+    def apply(self, *events: CallEvent, now: float = NOW) -> "CallHarness":
+        """Apply events in order."""
         for event in events:
-            self.actions += handle_event(self.state, self.facts, event, now)
+            self.actions += handle_event(self.state, self.context, event, now)
         return self
 
     def sent(self) -> list[SendAttempt]:
-        """Return the attempts so far."""
+        """Return the attempts sent so far."""
         return [item for item in self.actions if isinstance(item, SendAttempt)]
 
     def finish(self) -> FinishCall | None:
-        """Return the final word, if it was given."""
+        """Return the call's outcome, if it has ended."""
         last = [item for item in self.actions if isinstance(item, FinishCall)]
         assert len(last) <= 1, last
         return last[0] if last else None
 
     def data(self) -> bytes:
-        """Return what the caller has."""
+        """Return the data delivered to the caller."""
         chunks = [item.data for item in self.actions if isinstance(item, DeliverChunk)]
         return b"".join(chunks)
 
@@ -106,26 +106,26 @@
         ],
     )
     def test_any_order_gives_the_whole_answer(self, order: tuple[object, ...]) -> None:
-        call = Driven("letters")
+        call = CallHarness("letters")
         for item in order:
             if item == "head":
-                call.see(HeadArrived(1, 200, "text/plain"))
+                call.apply(HeadArrived(1, 200, "text/plain"))
             elif item == "end":
-                call.see(EndArrived(1, 3))
+                call.apply(EndArrived(1, 3))
             else:
                 assert isinstance(item, int)
-                call.see(ChunkArrived(1, item, b"abc"[item - 1 : item]))
+                call.apply(ChunkArrived(1, item, b"abc"[item - 1 : item]))
         finish = call.finish()
         assert finish is not None, order
         assert (finish.outcome, call.data()) == (Outcome.DONE, b"abc"), order
 
     def test_end_without_a_chunk_is_not_whole(self) -> None:
-        call = Driven("letters")
-        call.see(HeadArrived(1, 200, ""), ChunkArrived(1, 1, b"a"), EndArrived(1, 2))
+        call = CallHarness("letters")
+        call.apply(HeadArrived(1, 200, ""), ChunkArrived(1, 1, b"a"), EndArrived(1, 2))
         assert call.finish() is None
 
     def test_chunks_of_an_old_attempt_are_dropped(self) -> None:
-        call = Driven("letters").see(
+        call = CallHarness("letters").apply(
             HeadArrived(1, 200, ""),
             ChunkArrived(1, 1, b"a"),
             FAILED,
@@ -137,7 +137,7 @@
         assert [item.resume_after for item in call.sent()] == [0, 1]
 
 
-class TestFinalWord:
+class TestOutcome:
     @pytest.mark.parametrize(
         ("service", "key", "events", "outcome"),
         [
@@ -177,12 +177,12 @@
         events: list[CallEvent],
         outcome: str,
     ) -> None:
-        finish = Driven(service, key).see(*events).finish()
+        finish = CallHarness(service, key).apply(*events).finish()
         assert finish is not None
         assert finish.outcome.value == outcome, events
 
     def test_cut_answer_of_an_engine_that_cant_resume(self) -> None:
-        call = Driven("notes").see(
+        call = CallHarness("notes").apply(
             HeadArrived(1, 200, ""), ChunkArrived(1, 1, b"a"), FAILED
         )
         finish = call.finish()
@@ -190,35 +190,39 @@
         assert (finish.outcome, finish.delivered) == (Outcome.ASK_AGAIN, 1)
 
     def test_refused_order_gets_a_fresh_key_for_another_home(self) -> None:
-        call = Driven("orders", BROUGHT).see(AttemptRefused(1, NEVER))
+        call = CallHarness("orders", BROUGHT).apply(AttemptRefused(1, NEVER))
         finish = call.finish()
         assert finish is not None
         assert finish.fresh is not None
         assert finish.fresh.text != BROUGHT.text
 
     def test_order_is_never_sent_twice_by_an_entry(self) -> None:
-        call = Driven("orders").see(FAILED, TimePassed(), now=NOW + 11)
+        call = CallHarness("orders").apply(FAILED, TimerFired(), now=NOW + 11)
         assert len(call.sent()) == 1
 
 
 class TestTime:
     def test_silent_endpoint_is_left_for_another(self) -> None:
-        """A caller waits for an endpoint daemon that is frozen."""
-        call = Driven("letters").see(TimePassed(), now=NOW + 0.6)
+        """Guards against calls that wait for a frozen endpoint daemon."""
+        call = CallHarness("letters").apply(TimerFired(), now=NOW + 0.6)
         cancelled = [item for item in call.actions if isinstance(item, CancelAttempt)]
         assert [item.attempt for item in cancelled] == [1]
         assert call.sent()[0].endpoint != call.sent()[1].endpoint
 
     def test_deadline_ends_the_call(self) -> None:
-        call = Driven("letters").see(AttemptAccepted(1), TimePassed(), now=NOW + 10)
+        call = CallHarness("letters").apply(
+            AttemptAccepted(1), TimerFired(), now=NOW + 10
+        )
         finish = call.finish()
         assert finish is not None
         assert (finish.outcome, finish.reason) == (Outcome.ASK_AGAIN, Reason.TOO_LATE)
 
     def test_caller_that_hangs_up_cancels(self) -> None:
-        call = Driven("letters").see(AttemptAccepted(1), CallerLeft())
+        call = CallHarness("letters").apply(AttemptAccepted(1), CallerDisconnected())
         assert isinstance(call.actions[-1], CancelAttempt)
 
     def test_order_of_a_caller_that_hangs_up_runs_on(self) -> None:
-        call = Driven("orders", BROUGHT).see(AttemptAccepted(1), CallerLeft())
+        call = CallHarness("orders", BROUGHT).apply(
+            AttemptAccepted(1), CallerDisconnected()
+        )
         assert not any(isinstance(item, CancelAttempt) for item in call.actions)
--- a/mintsaddle/endpoint/_host.py
+++ b/mintsaddle/endpoint/_host.py
@@ -12,11 +12,11 @@
     EngineResult,
     RefuseArrival,
     StartEngine,
-    arrive,
     cancel,
     close_engine_call,
-    confirm,
     describe_endpoint_load,
+    handle_arrival,
+    handle_engine_up,
 )
 from mintsaddle.decisions.orders import LedgerEntry, OrderStatus
 from mintsaddle.endpoint._mailbox import Mailbox
@@ -90,7 +90,7 @@
         """Take in an arrival; its words come into the mailbox."""
         mailbox = Mailbox(message)
         self._mailboxes[arrival.request_id] = mailbox
-        self.perform(arrive(self._state, arrival, self._node.now()))
+        self.perform(handle_arrival(self._state, arrival, self._node.now()))
         return mailbox
 
     def close(self, request_id: str) -> None:
@@ -177,7 +177,7 @@
         now = self._node.now()
         if head.boot is not None:
             limit = self._state.admission.reported_limit
-            self.perform(confirm(self._state, head.boot, limit, now))
+            self.perform(handle_engine_up(self._state, head.boot, limit, now))
 
     def see_end(self, request_id: str, result: EngineResult, word: Word | None) -> None:
         """Note how an engine call ended."""
--- a/mintsaddle/endpoint/_run.py
+++ b/mintsaddle/endpoint/_run.py
@@ -13,10 +13,10 @@
 )
 from mintsaddle.decisions.arrivals import (
     EndpointState,
-    confirm,
+    apply_configuration,
     describe_endpoint_load,
-    follow_text,
-    lose,
+    handle_engine_down,
+    handle_engine_up,
     may_exit,
     start_leaving,
     tick,
@@ -62,7 +62,7 @@
     node = host.node
     state = host.state
     groups = GroupRunner(node)
-    node.on_change(lambda: host.perform(follow_text(state, node.now())))
+    node.on_change(lambda: host.perform(apply_configuration(state, node.now())))
     node.on_change(groups.follow)
     peers = PeerService(
         node,
@@ -98,10 +98,12 @@
         asked_at = node.now()
         match await loop.run_in_executor(node.helpers, probe_engine, engine):
             case Success(sight):
-                actions = confirm(host.state, sight.boot, sight.limit, asked_at)
+                actions = handle_engine_up(
+                    host.state, sight.boot, sight.limit, asked_at
+                )
                 host.perform(actions)
             case Failure(True):
-                host.perform(lose(host.state, node.now()))
+                host.perform(handle_engine_down(host.state, node.now()))
         idle = not host.state.arrivals
         await asyncio.sleep(IDLE_PROBE_PAUSE if idle else PROBE_PAUSE)
 
--- a/mintsaddle/endpoint/_workers.py
+++ b/mintsaddle/endpoint/_workers.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from mintsaddle.decisions.admission import Evidence
+from mintsaddle.decisions.admission import EngineFeedback
 from mintsaddle.decisions.arrivals import EngineResult
 from mintsaddle.endpoint._mailbox import Mailbox
 from mintsaddle.endpoint._words import Broken, Chunk, End, Head, Refused, Word
@@ -87,12 +87,12 @@
     post(host.see_end, request_id, result, None)
 
 
-def _judge(end: EngineEnd, *, overloaded: bool, in_time: bool) -> Evidence:
+def _judge(end: EngineEnd, *, overloaded: bool, in_time: bool) -> EngineFeedback:
     if overloaded:
-        return Evidence.OVERLOADED
+        return EngineFeedback.OVERLOADED
     if not end.whole:
-        return Evidence.FAILED
-    return Evidence.GOOD if in_time else Evidence.SLOW
+        return EngineFeedback.FAILED
+    return EngineFeedback.GOOD if in_time else EngineFeedback.SLOW
 
 
 def _last_word(end: EngineEnd, count: int, *, overloaded: bool, now: float) -> Word:
--- a/mintsaddle/entry/_calls.py
+++ b/mintsaddle/entry/_calls.py
@@ -12,7 +12,7 @@
     AttemptFailed,
     AttemptRefused,
     CallAction,
-    CallerLeft,
+    CallerDisconnected,
     CallEvent,
     CallRequest,
     CallState,
@@ -23,9 +23,9 @@
     EndArrived,
     FinishCall,
     HeadArrived,
-    RouteFacts,
+    RoutingContext,
     SendAttempt,
-    TimePassed,
+    TimerFired,
     handle_event,
     next_deadline,
     start_call,
@@ -121,14 +121,14 @@
 
     def leave(self) -> None:
         """Note that the caller hung up; in the loop."""
-        self._handle(CallerLeft())
+        self._handle(CallerDisconnected())
 
-    def _facts(self) -> RouteFacts:
+    def _facts(self) -> RoutingContext:
         configuration = self._node.configuration
         fleet = configuration.fleet
         # Calls are only begun by a daemon that serves, which has a text.
         assert fleet is not None
-        return RouteFacts(fleet, configuration.marks, self._routing, self._node.rng)
+        return RoutingContext(fleet, configuration.marks, self._routing, self._node.rng)
 
     def _handle(self, event: CallEvent) -> None:
         now = self._node.now()
@@ -166,7 +166,7 @@
         if self._state.over:
             return
         if self._node.now() >= next_deadline(self._state):
-            self._handle(TimePassed())
+            self._handle(TimerFired())
         self._set_timer()
 
     async def _run_attempt(self, action: SendAttempt) -> None:
