--- a/fakes/lockstep/_entry.py
+++ b/fakes/lockstep/_entry.py
@@ -10,7 +10,7 @@
 from mintsaddle.decisions.direct import (
     Destination,
     DirectCall,
-    GroupBeliefs,
+    GroupAvailability,
     Incarnation,
     RankPlace,
     Repeat,
@@ -81,7 +81,7 @@
         self._group = group
         self._policy = policy
         self._state = RoutingState(name, "a")
-        self._beliefs = GroupBeliefs()
+        self._beliefs = GroupAvailability()
         self._deadlines = RouteDeadlines()
         self._ranks = [
             Incarnation(f"r{rank}", "llm", "", "a", 6, False, 0.0, 1, place)
@@ -145,8 +145,8 @@
             urgency = choose_urgency(serving.call, self._world.now)
 
         def on_event() -> None:
-            if not serving.call.began:
-                serving.call = serving.call._replace(began=True)
+            if not serving.call.response_started:
+                serving.call = serving.call._replace(response_started=True)
                 running, waiting = self._group.load(rank)
                 load = Load(running, chosen.slots, waiting, leaving=False)
                 record_load(self._state, name, 0, load, self._world.now)
@@ -174,7 +174,7 @@
             return
         if not self._group.is_open:
             self._beliefs.record_refusal(GROUP, self._group.epoch, self._world.now)
-        if serving.call.began:
+        if serving.call.response_started:
             # The stream breaks off; its caller comes back on its own.
             serving.leave()
         elif serving.call.sends < ROUTE.most_attempts or not self._group.is_open:
--- a/mintsaddle/decisions/__init__.py
+++ b/mintsaddle/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions, sans I/O: facts and a time in, a decision out."""
+"""Decision logic without I/O: maps known facts and a time to decisions."""
--- a/mintsaddle/decisions/direct/__init__.py
+++ b/mintsaddle/decisions/direct/__init__.py
@@ -1,4 +1,4 @@
-"""Direct delivery: an entry calls endpoints itself. All of it is sans I/O."""
+"""Direct delivery: entries call endpoints themselves. Free of I/O."""
 
 from mintsaddle.decisions.direct._calls import (
     NEVER_RAN,
@@ -32,7 +32,7 @@
 )
 from mintsaddle.decisions.direct._first_map import EntryShare
 from mintsaddle.decisions.direct._groups import (
-    GroupBeliefs,
+    GroupAvailability,
     advise_retry,
     hold_until,
     place_at,
@@ -46,25 +46,25 @@
 )
 from mintsaddle.decisions.direct._pace import (
     EngineLoad,
-    GroupPaces,
-    admitting,
-    may_wait_for_room,
+    GroupStepTimes,
+    filter_admissible,
+    may_wait_for_slot,
     prefer_quick_groups,
 )
 from mintsaddle.decisions.direct._paths import CHECKS as PATH_CHECKS
 from mintsaddle.decisions.direct._paths import PathBeliefs
 from mintsaddle.decisions.direct._placement import (
-    MOST_PROBES,
-    PROBES,
+    MAX_PROBES,
+    PROBES_PER_ROUND,
     choose_by_load,
     choose_incarnation,
-    has_free_place,
-    lead_each_group,
+    group_leaders_first,
+    has_free_slot,
     rank_incarnations,
 )
 from mintsaddle.decisions.direct._rate_limits import (
-    Permit,
-    RateGrants,
+    PermitDecision,
+    PermitGranter,
     RateLimit,
     RateLimits,
 )
@@ -98,7 +98,7 @@
     must_poll,
 )
 from mintsaddle.decisions.direct._urgency import (
-    FIRST_URGENCY,
+    HIGHEST_URGENCY,
     LATE_URGENCY,
     RouteDeadlines,
     choose_urgency,
@@ -110,7 +110,7 @@
     "LAPSE_GRACE",
     "LATE_URGENCY",
     "MOST_IDLE",
-    "MOST_PROBES",
+    "MAX_PROBES",
     "MOST_TOLD",
     "NEVER_RAN",
     "RETRY_SHARE",
@@ -134,23 +134,23 @@
     "EndpointRemoved",
     "ExpertModel",
     "EntryShare",
-    "FIRST_URGENCY",
+    "HIGHEST_URGENCY",
     "Fact",
     "GiveUp",
-    "GroupBeliefs",
-    "GroupPaces",
+    "GroupAvailability",
+    "GroupStepTimes",
     "Incarnation",
     "KeyHolder",
     "KnownEntry",
     "Membership",
     "PATH_CHECKS",
-    "PROBES",
+    "PROBES_PER_ROUND",
     "PathBeliefs",
     "PublishedItem",
-    "Permit",
+    "PermitDecision",
     "Position",
     "RankPlace",
-    "RateGrants",
+    "PermitGranter",
     "RateLimit",
     "RateLimits",
     "Repeat",
@@ -163,7 +163,7 @@
     "TablePublished",
     "TryAgain",
     "Upstreams",
-    "admitting",
+    "filter_admissible",
     "advise_retry",
     "apply_facts",
     "attempt_until",
@@ -175,13 +175,13 @@
     "decide_next",
     "drop_lapsed",
     "give_up",
-    "has_free_place",
+    "has_free_slot",
     "hold_until",
     "is_late",
     "keep_seconds",
     "match_route",
-    "lead_each_group",
-    "may_wait_for_room",
+    "group_leaders_first",
+    "may_wait_for_slot",
     "must_poll",
     "place_at",
     "prefer_quick_groups",
--- a/mintsaddle/decisions/direct/_calls.py
+++ b/mintsaddle/decisions/direct/_calls.py
@@ -1,10 +1,11 @@
-"""One caller's request: what follows from each end of an attempt.
-
-Load patterns: endpoints that are full, fall silent, break off, answer for
-another request or lose their answers, and callers that repeat meanwhile. A
-request that may run once goes to a second endpoint only if the first one is
-known not to run it; all others only within the retry budget, since every
-arrival beyond the first loads endpoints that are in trouble already.
+"""What to do after each attempt of one caller's request.
+
+Endpoints may be full, stop responding, break the connection, answer a
+different request or lose their answers, while callers retry on their own. A
+request that may run only once is sent to a second endpoint only if the first
+one is known not to run it. All others are retried within the retry budget,
+since each additional arrival adds load to endpoints that are in trouble
+already.
 """
 
 import enum
@@ -18,43 +19,44 @@
     """How an attempt ended that gave no usable answer."""
 
     NOT_SENT = "not-sent"
-    """No connection was made: not a byte has left."""
+    """No connection was made, and nothing was sent."""
 
     NOT_RUN = "not-run"
-    """The endpoint says that it has not run the request and never will."""
+    """The endpoint states that it neither ran the request nor will run it."""
 
     GROUP_DOWN = "group-down"
-    """The same, because another rank of its group is lost."""
+    """The same, because another rank of the endpoint's group is lost."""
 
     MISDIRECTED = "misdirected"
-    """Another endpoint has the address by now; it has not run the request."""
+    """Another endpoint uses the address by now and hasn't run the request."""
 
     BROKEN = "broken"
-    """Sent, and no whole answer of this request came back."""
+    """The request was sent, and no complete answer to it came back."""
 
     FAILED = "failed"
-    """The endpoint's own whole answer says that it failed."""
+    """The endpoint's complete answer reports an error."""
 
     SILENT = "silent"
-    """Sent, and nothing came within the time for this attempt."""
+    """The request was sent, and nothing came back before the timeout."""
 
 
-SHARE_OF_FIRST = 0.5
-"""Share of the time left that an idempotent call's first attempt gets."""
+FIRST_ATTEMPT_SHARE = 0.5
+"""Share of the remaining time that the first attempt of an idempotent call may
+use."""
 
 NEVER_RAN = frozenset(
     {Ending.NOT_SENT, Ending.NOT_RUN, Ending.GROUP_DOWN, Ending.MISDIRECTED}
 )
-"""Endings after which the endpoint surely has not run the request."""
+"""Endings after which the endpoint certainly hasn't run the request."""
 
 
 _NOT_REACHED = frozenset({Ending.NOT_SENT, Ending.MISDIRECTED})
-"""Endings after which the endpoint that was meant has got nothing; another one
-may be tried as if it were the first."""
+"""Endings after which the intended endpoint has received nothing, so that the
+attempt doesn't count."""
 
 
 class DirectCall(NamedTuple):
-    """One caller's request and what has become of it so far."""
+    """One caller's request and the state of its attempts."""
 
     request_id: str
     route: Route
@@ -62,50 +64,50 @@
     workspace: str
     arrived_at: Instant
     deadline: Instant
-    """When the caller's or the route's time is over, whichever is earlier."""
+    """The earlier of the caller's and the route's deadline."""
 
     due_at: Instant = 0.0
     """Until when an answer, or its first event, is on time."""
 
     priority: int = 0
-    """Rank of its workspace, or else of its route; 0 is the highest."""
+    """Priority of its workspace, or else of its route; 0 is the highest."""
 
     tried: frozenset[str] = frozenset()
     """Endpoints that it was sent to."""
 
     sends: int = 0
-    """Endpoints that got it, whether they ran it or not."""
+    """Number of endpoints that received it, whether they ran it or not."""
 
     may_have_run: bool = False
     last_event: int | None = None
-    """Id of the last whole event that the caller has."""
+    """Id of the last complete event that the caller has received."""
 
-    began: bool = False
-    """Whether the caller has the answer's head already."""
+    response_started: bool = False
+    """Whether the caller has received the head of the answer."""
 
 
 class TryAgain(NamedTuple):
-    """Send it to another endpoint."""
+    """Send the request to another endpoint."""
 
 
 class GiveUp(NamedTuple):
-    """End it; the caller hears this outcome."""
+    """End the call and report this outcome to the caller."""
 
     outcome: Outcome
     reason: Reason
 
 
 def attempt_until(call: DirectCall, now: Instant) -> Instant:
-    """Return until when the next attempt's answer is waited for.
+    """Return until when to wait for the next attempt's answer.
 
-    An idempotent call leaves time for a second attempt, since an endpoint may
-    have run it and lost the answer. All others wait to their end: silence is
-    no reason to give up what may be running.
+    An idempotent call reserves time for a second attempt, since an endpoint
+    may have run it and lost the answer. All others wait until their deadline:
+    without an answer the request may still be running.
     """
     is_last = call.sends + 1 >= call.route.most_attempts
     if is_last or call.route.repeat is not Repeat.IDEMPOTENT:
         return call.deadline
-    return now + (call.deadline - now) * SHARE_OF_FIRST
+    return now + (call.deadline - now) * FIRST_ATTEMPT_SHARE
 
 
 def record_attempt(call: DirectCall, endpoint: str, ending: Ending) -> DirectCall:
@@ -120,12 +122,12 @@
 def decide_next(
     call: DirectCall, ending: Ending, *, has_budget: bool, now: Instant
 ) -> TryAgain | GiveUp:
-    """Return what follows from the last attempt's ending.
+    """Return whether to retry after an attempt or to give up.
 
     Args:
-        call: The call, with that attempt noted.
+        call: The call, including that attempt.
         ending: How the attempt ended.
-        has_budget: Whether the retry budget allows one more arrival.
+        has_budget: Whether the retry budget allows another attempt.
         now: The present instant.
     """
     if now >= call.deadline:
@@ -138,8 +140,8 @@
 
 
 def give_up(call: DirectCall, reason: Reason) -> GiveUp:
-    """Return the end of a call: the claim follows from what is known."""
-    if call.began:
+    """Return the end of a call, with the outcome that its state allows."""
+    if call.response_started:
         return GiveUp(Outcome.IN_DOUBT, Reason.CUT_OFF)
     outcome = Outcome.IN_DOUBT if call.may_have_run else Outcome.NOT_RUN
     return GiveUp(outcome, reason)
--- a/mintsaddle/decisions/direct/_groups.py
+++ b/mintsaddle/decisions/direct/_groups.py
@@ -1,10 +1,10 @@
-"""Which rank groups take no work at present.
+"""Availability of rank groups, as one entry observes it.
 
-Load pattern: one rank dies or is cut off, and its whole group stands still for
-seconds. Every request that is sent there meanwhile first waits for the stall
-and is then refused, and each such arrival counts against the retry budget. So
-the first refusal speaks for all ranks, and nothing more is sent until a report
-says that the group has formed anew.
+When one rank dies or is cut off, its whole group stalls for seconds. Each
+request sent there meanwhile first waits for the stall, is then refused, and
+uses up retry budget. So a refusal by one rank marks the whole group as down,
+and nothing more is sent there until a report shows that the group has formed
+again.
 """
 
 import random
@@ -16,48 +16,50 @@
 
 FALSE_ALARM_SECONDS = 0.5
 """Seconds after a refusal from which a report of an open group in the same
-epoch counts: reports are up to 0.2 s old."""
+epoch overrides it. Reports are up to 0.2 s old, so an earlier one may predate
+the refusal."""
 
-LEAST_TIMEOUT = 2.0
-"""Seconds without an event after which callers leave a stream at the soonest,
-by the platform's page; four objectives or eight pauses may be longer."""
+MIN_CALLER_TIMEOUT_SECONDS = 2.0
+"""Shortest time without an event after which callers abandon a stream, as the
+platform documents it. Four objectives or eight pauses may be longer."""
 
-HOLD_MARGIN = 0.25
-"""Seconds before that in which a held request has to be on its way: the first
-event takes 0.2 s on a calm group."""
+HOLD_MARGIN_SECONDS = 0.25
+"""Seconds before that timeout by which a held request must be sent. The first
+event takes 0.2 s on an idle group."""
 
-RETURN_SPREAD = 0.4
-"""Seconds over which late streams that waited for their group are placed once
-it is back. Placed at one moment, each of them finds all engines idle."""
+RECOVERY_JITTER_SECONDS = 0.4
+"""Seconds over which waiting late streams are placed when their group is back.
+If all were placed at once, each would see all engines idle."""
 
-RETRY_SHARE_OF_TIME = 1 / 3
-"""Share of their remaining time for which callers heed a time to come back."""
+MAX_RETRY_DELAY_SHARE = 1 / 3
+"""Share of a caller's remaining time up to which it respects an advised retry
+delay."""
 
-_SPREAD = 0.2
+_RETRY_JITTER_SHARE = 0.2
 
 
-class GroupBeliefs:
-    """The groups that are believed to be down, and since which epoch."""
+class GroupAvailability:
+    """The groups that count as down, and the epoch in which they went down."""
 
     def __init__(self) -> None:
         self._down: dict[str, tuple[int, Instant]] = {}
         self._stalled_at: dict[str, int] = {}
 
     def is_down(self, group: str) -> bool:
-        """Return whether a group takes no work."""
+        """Return whether a group accepts no work."""
         return group in self._down
 
     def down_groups(self) -> tuple[str, ...]:
-        """Return all groups that take no work."""
+        """Return all groups that accept no work."""
         return tuple(self._down)
 
     def record_refusal(self, group: str, epoch: int, now: Instant) -> None:
-        """Note that a rank refused for its group's sake."""
+        """Record that a rank refused a request because its group is down."""
         known_epoch, _ = self._down.get(group, (0, 0.0))
         self._down[group] = (max(epoch, known_epoch), now)
 
     def record_stall(self, group: str, epoch: int, step: int, now: Instant) -> None:
-        """Note that a group with requests has stalled at a step."""
+        """Record that a group with requests has stalled at a step."""
         self.record_refusal(group, epoch, now)
         self._stalled_at[group] = step
 
@@ -69,14 +71,14 @@
         now: Instant,
         step: int | None = None,
     ) -> None:
-        """Note what a rank says of its group now.
+        """Record a rank's report on its group.
 
         Args:
             group: The group.
             epoch: Its epoch.
-            is_open: Whether it says that it takes work.
+            is_open: Whether the rank reports that the group accepts work.
             now: The present instant.
-            step: The last step that it began; None when that isn't told.
+            step: The last step that the group began; None if not reported.
         """
         if not is_open:
             self._down.setdefault(group, (epoch, now))
@@ -87,16 +89,16 @@
         down_epoch, since = down
         stalled_at = self._stalled_at.get(group)
         if stalled_at is None:
-            goes_on = now - since > FALSE_ALARM_SECONDS
+            has_recovered = now - since > FALSE_ALARM_SECONDS
         else:
-            # Until its ranks give up, a stalled group calls itself open.
-            goes_on = step is not None and step > stalled_at
-        if epoch > down_epoch or goes_on:
+            # A stalled group reports itself open until its ranks time out.
+            has_recovered = step is not None and step > stalled_at
+        if epoch > down_epoch or has_recovered:
             del self._down[group]
             self._stalled_at.pop(group, None)
 
     def takes_work(self, incarnation: Incarnation) -> bool:
-        """Return whether an endpoint's group, if it has one, takes work."""
+        """Return whether an endpoint's group, if it has one, accepts work."""
         place = incarnation.place
         return place is None or place.group not in self._down
 
@@ -104,37 +106,44 @@
 def hold_until(call: DirectCall) -> Instant:
     """Return until when a request may wait at the entry for its group.
 
-    Longer would be in vain: its caller leaves.
+    Its caller would time out if it waited longer.
     """
     route = call.route
-    timeout = max(LEAST_TIMEOUT, 4 * route.objective, 8 * route.longest_pause)
-    waited = call.arrived_at + timeout - HOLD_MARGIN
-    return min(waited, call.deadline - HOLD_MARGIN)
+    timeout = max(
+        MIN_CALLER_TIMEOUT_SECONDS, 4 * route.objective, 8 * route.longest_pause
+    )
+    hold_end = call.arrived_at + timeout - HOLD_MARGIN_SECONDS
+    return min(hold_end, call.deadline - HOLD_MARGIN_SECONDS)
 
 
 def place_at(call: DirectCall, now: Instant, rng: random.Random) -> Instant:
     """Return when a request that has waited for endpoints may be placed.
 
     Args:
-        call: The request; only streams that can't be on time any more wait.
-        now: When an endpoint takes work again.
-        rng: The source of the spread.
+        call: The request. Only late streams are delayed.
+        now: When an endpoint accepts work again.
+        rng: The random number generator for the jitter.
     """
     if not call.route.is_stream or not is_late(call, now):
         return now
-    return now + rng.random() * min(RETURN_SPREAD, max(0.0, hold_until(call) - now))
+    return now + rng.random() * min(
+        RECOVERY_JITTER_SECONDS, max(0.0, hold_until(call) - now)
+    )
 
 
-def advise_retry(seconds_left: float, wished: float, rng: random.Random) -> float:
-    """Return after how many seconds a refused caller should come back.
+def advise_retry(
+    seconds_left: float, preferred_seconds: float, rng: random.Random
+) -> float:
+    """Return after how many seconds a refused caller should retry.
 
-    Callers that are refused together must not come back together, so the time
-    is spread; and a time that they wouldn't heed is of no use.
+    The delay has jitter, so that callers refused together don't retry
+    together, and it is capped, since callers ignore a delay that takes too
+    much of their remaining time.
 
     Args:
         seconds_left: How long the caller still waits.
-        wished: Seconds after which there will probably be room.
-        rng: The source of the spread.
+        preferred_seconds: Seconds after which there will probably be capacity.
+        rng: The random number generator for the jitter.
     """
-    seconds = min(wished, seconds_left * RETRY_SHARE_OF_TIME)
-    return seconds * (1.0 - _SPREAD * rng.random())
+    seconds = min(preferred_seconds, seconds_left * MAX_RETRY_DELAY_SHARE)
+    return seconds * (1.0 - _RETRY_JITTER_SHARE * rng.random())
--- a/mintsaddle/decisions/direct/_placement.py
+++ b/mintsaddle/decisions/direct/_placement.py
@@ -1,10 +1,10 @@
-"""Which endpoint gets a request, from what one entry knows.
+"""Choice of the endpoint for a request, from the load that one entry knows.
 
-Load patterns: some entries and a dozen endpoints of one service, each entry
-seeing its own requests at once and those of others only by the loads that
-endpoints put on their answers; and hundreds of endpoints of few places, of
-which an entry sees a hundredth of the requests. There what it knows tells
-nothing of who is full, so a few endpoints are probed for each request.
+With some entries and a dozen endpoints of a service, each entry knows its own
+requests at once, and those of others from the loads that endpoints put on
+their responses. With hundreds of endpoints of few slots, an entry sees a
+hundredth of the requests and can't tell which endpoints are full, so it
+probes a few of them for each request.
 """
 
 import random
@@ -15,15 +15,15 @@
 from mintsaddle.decisions.routing import RoutingState
 from mintsaddle.values import Instant
 
-PROBES = 4
-"""Endpoints probed at one time: the least loaded of a few is seldom full, and
-the work of probing doesn't grow with their number."""
+PROBES_PER_ROUND = 4
+"""Endpoints probed at the same time. The least loaded of a few is seldom full,
+and the cost doesn't grow with the number of endpoints."""
 
-MOST_PROBES = 12
-"""Endpoints probed for a request while all before were full."""
+MAX_PROBES = 12
+"""Endpoints probed for one request while all that were probed are full."""
 
-BLIND_SLOTS = 1
-"""Places assumed at an endpoint that tells of none."""
+DEFAULT_SLOTS = 1
+"""Slots assumed at an endpoint that announces none."""
 
 
 def choose_incarnation(
@@ -34,19 +34,20 @@
     rng: random.Random,
     has_idle: Callable[[str], bool] = lambda _: False,
 ) -> Incarnation | None:
-    """Return the endpoint to try next, or None when none is left.
+    """Return the endpoint to try next, or None if none is left.
 
-    The least utilised one of those that aren't resting after failures. A kept
-    connection breaks ties, then the own data centre, then chance, so that
-    entries with the same view don't all choose the same endpoint.
+    It is the least utilised endpoint that isn't in back-off after failures.
+    Ties are broken by an idle connection, then by the entry's own data centre,
+    then at random, so that entries with the same view choose different
+    endpoints.
 
     Args:
         state: The entry's views of endpoints.
-        candidates: Endpoints that take work.
-        tried: Names of those that have had the request.
+        candidates: Endpoints that accept work.
+        tried: Names of the endpoints that were tried for this request.
         now: The present instant.
-        rng: The source of chance.
-        has_idle: Returns whether a connection to an endpoint is kept.
+        rng: The random number generator.
+        has_idle: Returns whether there is an idle connection to an endpoint.
     """
     return next(
         iter(rank_incarnations(state, candidates, tried, now, rng, has_idle)), None
@@ -63,37 +64,41 @@
 ) -> list[Incarnation]:
     """Return the endpoints that may be tried next, the best one first.
 
-    While all are resting it is the one whose rest is over first. Arguments as
-    for ``choose_incarnation``.
+    If all are in back-off, only the one whose back-off ends first is returned.
+    For the arguments see ``choose_incarnation``.
     """
-    left = [one for one in candidates if one.name not in tried]
-    rested = [one for one in left if state.view(one.name).blocked_until <= now]
-    if not rested:
-        return sorted(left, key=lambda one: state.view(one.name).blocked_until)[:1]
+    left = [endpoint for endpoint in candidates if endpoint.name not in tried]
+    available = [
+        endpoint for endpoint in left if state.view(endpoint.name).blocked_until <= now
+    ]
+    if not available:
+        return sorted(
+            left, key=lambda endpoint: state.view(endpoint.name).blocked_until
+        )[:1]
 
-    def rank(one: Incarnation) -> tuple[float, bool, bool, float]:
-        load = state.view(one.name).estimate_load(now)
-        is_far = one.data_centre != state.data_centre
-        utilisation = load / max(BLIND_SLOTS, one.slots)
-        return (utilisation, not has_idle(one.name), is_far, rng.random())
+    def sort_key(endpoint: Incarnation) -> tuple[float, bool, bool, float]:
+        load = state.view(endpoint.name).estimate_load(now)
+        is_remote = endpoint.data_centre != state.data_centre
+        utilisation = load / max(DEFAULT_SLOTS, endpoint.slots)
+        return (utilisation, not has_idle(endpoint.name), is_remote, rng.random())
 
-    return sorted(rested, key=rank)
+    return sorted(available, key=sort_key)
 
 
-def lead_each_group(ranked: Sequence[Incarnation]) -> list[Incarnation]:
-    """Return endpoints so that the best one of each rank group comes first.
+def group_leaders_first(ranked: Sequence[Incarnation]) -> list[Incarnation]:
+    """Return the endpoints with the best one of each rank group in front.
 
-    Otherwise those of the own data centre, which may all be of one group, are
-    the only ones that are probed, and no group's load moves to another.
+    Without this only endpoints of the entry's own data centre would be probed.
+    They may all belong to one group, and no load would move to other groups.
 
     Args:
         ranked: Endpoints, the best one first.
     """
     leaders: dict[str, Incarnation] = {}
-    for one in ranked:
-        leaders.setdefault(one.place.group if one.place else "", one)
+    for endpoint in ranked:
+        leaders.setdefault(endpoint.place.group if endpoint.place else "", endpoint)
     first = list(leaders.values())
-    return first + [one for one in ranked if one not in first]
+    return first + [endpoint for endpoint in ranked if endpoint not in first]
 
 
 def choose_by_load(
@@ -101,29 +106,33 @@
     loads: Mapping[str, int],
     step_seconds: Mapping[str, float] = MappingProxyType({}),
 ) -> Incarnation:
-    """Return the endpoint to try by loads that were told a moment ago.
+    """Return the endpoint to try, by the loads that were just probed.
 
-    A request lasts as many steps in each group, so a group whose steps take
-    longer gets fewer requests: those that it has keep their pauses.
+    A request takes the same number of steps in each group, so a group with
+    longer steps gets fewer requests and its requests keep their pauses.
 
     Args:
-        candidates: Endpoints that may be tried, the best one first by what was
-            known before; at least one.
-        loads: Requests at those that told, waiting ones included, by name.
-        step_seconds: How long steps take, by group, where that is known.
+        candidates: Endpoints that may be tried, the best one by earlier
+            knowledge first; at least one.
+        loads: Requests at the endpoints that answered, including queued ones,
+            by name.
+        step_seconds: Known step times by group.
     """
-    told = [one for one in candidates if one.name in loads]
-    usual = min((s for s in step_seconds.values() if s > 0), default=1.0)
+    probed = [endpoint for endpoint in candidates if endpoint.name in loads]
+    default = min((s for s in step_seconds.values() if s > 0), default=1.0)
 
-    def cost(one: Incarnation) -> float:
-        group = one.place.group if one.place else ""
-        seconds = step_seconds.get(group, 0.0) or usual
-        requests = loads.get(one.name, 0) + 1
-        return requests * seconds / max(BLIND_SLOTS, one.slots)
+    def cost(endpoint: Incarnation) -> float:
+        group = endpoint.place.group if endpoint.place else ""
+        seconds = step_seconds.get(group, 0.0) or default
+        requests = loads.get(endpoint.name, 0) + 1
+        return requests * seconds / max(DEFAULT_SLOTS, endpoint.slots)
 
-    return min(told or candidates[:1], key=cost)
+    return min(probed or candidates[:1], key=cost)
 
 
-def has_free_place(candidates: Sequence[Incarnation], loads: Mapping[str, int]) -> bool:
-    """Return whether one of the endpoints told of a free place."""
-    return any(loads.get(one.name, one.slots) < one.slots for one in candidates)
+def has_free_slot(candidates: Sequence[Incarnation], loads: Mapping[str, int]) -> bool:
+    """Return whether one of the endpoints reported a free slot."""
+    return any(
+        loads.get(endpoint.name, endpoint.slots) < endpoint.slots
+        for endpoint in candidates
+    )
--- a/mintsaddle/decisions/direct/_rate_limits.py
+++ b/mintsaddle/decisions/direct/_rate_limits.py
@@ -1,14 +1,15 @@
-"""How the requests that an endpoint in need still takes are shared out.
-
-Load pattern: an endpoint under strain names in its answers how many requests a
-second it takes from all entries together. Equal shares would waste most of
-that: with hundreds of entries, few of them have a request for this endpoint at
-any moment. So one entry, the granter, hands out a permit for each request,
-first come, first served; who sends nothing holds nothing.
-
-Nobody is elected. Entries whose views of the others differ for a while ask
-different granters, so one that is new to an endpoint grants less until views
-have had time to converge: both together stay within what the endpoint takes.
+"""Sharing of an endpoint's rate limit among all entries.
+
+An overloaded endpoint states in its responses how many requests per second it
+accepts from all entries together. Equal shares would waste most of that: with
+hundreds of entries, few of them have a request for this endpoint at any
+moment. So one entry, the granter, issues a permit for each request, first
+come, first served, and entries without requests use no capacity.
+
+There is no leader election. Entries that temporarily disagree about the
+membership ask different granters, so an entry that is new as the granter of an
+endpoint grants less until the views have converged. Two granters together then
+stay within the endpoint's limit.
 """
 
 from collections.abc import Iterable
@@ -18,44 +19,44 @@
 from mintsaddle.values import Instant
 
 GRANT_SHARE = 0.8
-"""Share of the named rate that is granted; the rest is for requests that take
-a while to arrive."""
+"""Share of the endpoint's rate that is granted. The rest allows for requests
+that arrive late."""
 
-YOUNG_GRANT_SHARE = 0.5
-"""The same by a granter that hasn't granted for long: entries that don't know
-it yet may still ask another one."""
+NEW_GRANTER_SHARE = 0.5
+"""The same for a new granter, since entries that don't know it yet may still
+ask another one."""
 
-YOUNG_SECONDS = ALIVE_SECONDS
-"""Seconds for which a granter is new to an endpoint: by then all entries have
-noticed who is there and who is gone."""
+NEW_GRANTER_SECONDS = ALIVE_SECONDS
+"""Seconds for which a granter counts as new for an endpoint. After that all
+entries have noticed which members joined or left."""
 
-MOST_SAVED = 2.0
-"""Permits that a quiet time saves up; all that is sent at once beyond the
-rate."""
+MAX_BURST_PERMITS = 2.0
+"""Permits that accumulate while none are requested; the largest burst beyond
+the rate."""
 
-LEAST_RATE = 0.25
-"""Requests a second that are granted at least. An endpoint tells that its
-limit is over in an answer only, so it has to be asked now and then."""
+MIN_GRANT_RATE = 0.25
+"""Minimum requests per second that are granted. An endpoint lifts its limit
+only in a response, so it has to get a request now and then."""
 
 
 class RateLimit(NamedTuple):
-    """What an endpoint was last known to say of its rate."""
+    """The latest known rate limit of an endpoint."""
 
     rate: float | None
-    """Requests a second from all entries together; None for no limit."""
+    """Requests per second from all entries together; None for no limit."""
 
     observed_at: Instant
 
 
 class RateLimits:
-    """One entry's beliefs of limits, and for which it has no permit now."""
+    """Rate limits known to one entry, and which permits it was denied."""
 
     def __init__(self) -> None:
         self._limits: dict[str, RateLimit] = {}
         self._denied_until: dict[str, Instant] = {}
 
     def limit_of(self, endpoint: str) -> RateLimit | None:
-        """Return what is known of an endpoint that has ever named a rate."""
+        """Return the limit of an endpoint; None if it never stated one."""
         return self._limits.get(endpoint)
 
     def is_limited(self, endpoint: str) -> bool:
@@ -64,7 +65,7 @@
         return limit is not None and limit.rate is not None
 
     def record(self, endpoint: str, rate: float | None, observed_at: Instant) -> bool:
-        """Take over what an endpoint said, if nothing newer is known.
+        """Record a stated limit, unless a newer one is known.
 
         Returns:
             Whether the rate has changed.
@@ -80,72 +81,75 @@
         return known is None or known.rate != rate
 
     def record_denied(self, endpoint: str, until: Instant) -> None:
-        """Note until when there is no permit for an endpoint."""
+        """Record until when no permit for an endpoint is available."""
         self._denied_until[endpoint] = until
 
     def takes_work(self, endpoint: str, now: Instant) -> bool:
-        """Return whether a permit for an endpoint is worth asking for."""
+        """Return whether a permit for an endpoint may be available."""
         return now >= self._denied_until.get(endpoint, now)
 
     def next_permit_at(self, endpoints: Iterable[str], now: Instant) -> Instant | None:
-        """Return when the next permit for one of some endpoints is expected.
+        """Return when the next permit for any of the endpoints is expected.
 
         Returns:
-            None if none of them is denied one at present.
+            None if no permit is denied at present.
         """
-        known = [self._denied_until.get(one, now) for one in endpoints]
+        known = [self._denied_until.get(endpoint, now) for endpoint in endpoints]
         return min((until for until in known if until > now), default=None)
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Discard the limit of an endpoint that is gone."""
         self._limits.pop(endpoint, None)
         self._denied_until.pop(endpoint, None)
 
 
-class Permit(NamedTuple):
-    """A granter's answer to one request."""
+class PermitDecision(NamedTuple):
+    """A granter's answer to the request for one permit."""
 
     is_granted: bool
     next_at: Instant
     """When the next permit is expected, if this one wasn't granted."""
 
 
-class _Account(NamedTuple):
-    saved: float
+class _TokenBucket(NamedTuple):
+    tokens: float
     """Permits that may be granted at once."""
 
-    counted_at: Instant
-    began_at: Instant
-    """Since when this entry grants for the endpoint without a long pause."""
+    refilled_at: Instant
+    granting_since: Instant
+    """Since when this entry has granted for the endpoint without a pause of
+    ``NEW_GRANTER_SECONDS``."""
 
 
-class RateGrants:
-    """The permits that one entry hands out, by endpoint."""
+class PermitGranter:
+    """Issues this entry's permits, with one token bucket per endpoint."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, _Account] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
-    def ask(self, endpoint: str, rate: float, now: Instant) -> Permit:
-        """Answer one entry's wish to send a request.
+    def request_permit(
+        self, endpoint: str, rate: float, now: Instant
+    ) -> PermitDecision:
+        """Grant or deny one entry a permit for a request.
 
         Args:
             endpoint: The endpoint.
-            rate: Requests a second that it takes from all entries.
+            rate: Requests per second that it accepts from all entries.
             now: The present instant.
         """
-        known = self._accounts.get(endpoint)
-        if known is None or now - known.counted_at > YOUNG_SECONDS:
-            known = _Account(0.0, now, now)
-        is_young = now - known.began_at < YOUNG_SECONDS
-        share = YOUNG_GRANT_SHARE if is_young else GRANT_SHARE
-        rate = max(LEAST_RATE, rate * share)
-        saved = min(MOST_SAVED, known.saved + (now - known.counted_at) * rate)
-        is_granted = saved >= 1.0
-        left = saved - is_granted
-        self._accounts[endpoint] = _Account(left, now, known.began_at)
-        return Permit(is_granted, now + max(0.0, 1.0 - left) / rate)
+        known = self._buckets.get(endpoint)
+        if known is None or now - known.refilled_at > NEW_GRANTER_SECONDS:
+            known = _TokenBucket(0.0, now, now)
+        is_new = now - known.granting_since < NEW_GRANTER_SECONDS
+        share = NEW_GRANTER_SHARE if is_new else GRANT_SHARE
+        rate = max(MIN_GRANT_RATE, rate * share)
+        tokens = min(MAX_BURST_PERMITS, known.tokens + (now - known.refilled_at) * rate)
+        is_granted = tokens >= 1.0
+        left = tokens - is_granted
+        self._buckets[endpoint] = _TokenBucket(left, now, known.granting_since)
+        return PermitDecision(is_granted, now + max(0.0, 1.0 - left) / rate)
 
     def keep_only(self, endpoints: Iterable[str]) -> None:
-        """Forget endpoints that are gone."""
+        """Discard the buckets of endpoints that are gone."""
         kept = set(endpoints)
-        self._accounts = {k: v for k, v in self._accounts.items() if k in kept}
+        self._buckets = {k: v for k, v in self._buckets.items() if k in kept}
--- a/mintsaddle/decisions/direct/_urgency.py
+++ b/mintsaddle/decisions/direct/_urgency.py
@@ -1,14 +1,14 @@
-"""Who goes first while more is asked than endpoints can begin.
+"""The urgency of a request, by which overloaded endpoints order their queue.
 
-Load pattern: a group was down for seconds, and those who waited or were told
-to come back arrive together with those who ask for the first time. First come,
-first served makes everybody late for as long as the backlog lasts, since the
-group bears little more than what is asked anew. So a request that can still be
-on time goes first, and a late one takes what is left: to its caller a second
-more matters less.
+After a group was down for seconds, the requests that waited and the callers
+that were told to retry arrive together with new requests. In order of arrival
+all of them would be late for as long as the backlog lasts, since the group can
+serve little more than the new requests. So requests that can still be on time
+go first, and late ones use the remaining capacity: one more second matters
+less to their callers.
 
-Endpoints admit by the urgency that a request names, so entries need no common
-queue for this.
+Endpoints admit requests by the urgency that they carry, so entries need no
+shared queue.
 """
 
 from collections.abc import Collection
@@ -16,30 +16,31 @@
 from mintsaddle.decisions.direct._calls import DirectCall
 from mintsaddle.values import Instant
 
-FIRST_URGENCY = 0
-"""What goes before everything else."""
+HIGHEST_URGENCY = 0
+"""The urgency that goes before all others."""
 
 LATE_URGENCY = 5
-"""First of the five urgencies of late requests; five before them are for those
-that can be on time. Endpoints know ten, and take 5 where none is named."""
+"""The first of five urgencies for late requests. The five before it are for
+requests that can be on time. Endpoints accept ten, and assume 5 if none is
+given."""
 
-_CLASS_URGENCIES = 5
+_URGENCIES_PER_CLASS = 5
 
-_MEMORY = 64
+_RELEARN_REQUESTS = 64
 """Requests of a route after which its longest deadline is learned anew."""
 
 _RETURNING_SHARE = 0.78
-"""Share of the longest time under which a caller counts as one that returns.
-Fresh callers bring times within 15 in 100 of each other; one that comes back
-has waited for 1.5 s and more of 8 s, and then for its time to come back."""
+"""Share of the route's longest deadline below which a caller counts as
+returning. Deadlines of new callers lie within 15 in 100 of each other. A
+returning caller has used up at least 1.5 s of 8 s and its retry delay."""
 
 
 class RouteDeadlines:
-    """How long callers of each route wait when they ask for the first time.
+    """Learns how much time the callers of each route allow at first.
 
-    A caller that comes back brings what is left of its time and doesn't say
-    that it has asked before. Callers of one route bring much the same time, so
-    one that brings clearly less has spent the rest.
+    A caller that retries sends its remaining time and doesn't say that it has
+    asked before. Callers of one route allow about the same time, so a request
+    with clearly less is taken for a retry.
     """
 
     def __init__(self) -> None:
@@ -47,39 +48,40 @@
         self._recent: dict[str, tuple[int, float]] = {}
 
     def note(self, route: str, seconds_left: float) -> None:
-        """Note what a request of a route has left at its arrival."""
+        """Record the time that a request of a route has left at arrival."""
         self._longest[route] = max(self._longest.get(route, 0.0), seconds_left)
         count, longest = self._recent.get(route, (0, 0.0))
         count, longest = count + 1, max(longest, seconds_left)
-        if count >= _MEMORY:
-            # A table may have shortened what callers bring: without this all
-            # of them would count as returning for good.
+        if count >= _RELEARN_REQUESTS:
+            # A new routing table may shorten the deadlines. Without this, all
+            # callers would then count as returning permanently.
             self._longest[route] = longest
             count, longest = 0, 0.0
         self._recent[route] = (count, longest)
 
     def keep_only(self, routes: Collection[str]) -> None:
-        """Forget routes that the table doesn't hold any more."""
+        """Discard routes that are no longer in the routing table."""
         self._longest = {k: v for k, v in self._longest.items() if k in routes}
         self._recent = {k: v for k, v in self._recent.items() if k in routes}
 
     def is_returning(self, route: str, seconds_left: float) -> bool:
-        """Return whether a caller has asked before, by estimate."""
+        """Return whether a request probably is a retry by its caller."""
         return seconds_left < self._longest.get(route, 0.0) * _RETURNING_SHARE
 
 
 def choose_urgency(call: DirectCall, now: Instant) -> int:
-    """Return how urgent a call is to endpoints; 0 goes first.
+    """Return the urgency to send with a call; 0 goes first.
 
-    A stream that its caller has a part of goes before all else: refused, the
-    part would be lost too. Among its like a call goes by its priority.
+    A stream that its caller has received a part of goes first, since that part
+    would be lost with a refusal. Within its class a call is ordered by its
+    priority.
     """
-    if call.began:
-        return FIRST_URGENCY
-    rank = min(max(0, call.priority), _CLASS_URGENCIES - 1)
+    if call.response_started:
+        return HIGHEST_URGENCY
+    rank = min(max(0, call.priority), _URGENCIES_PER_CLASS - 1)
     return LATE_URGENCY + rank if is_late(call, now) else rank
 
 
 def is_late(call: DirectCall, now: Instant) -> bool:
-    """Return whether a call that hasn't begun can't be on time any more."""
-    return not call.began and now > call.due_at
+    """Return whether a call without a response can't be on time any more."""
+    return not call.response_started and now > call.due_at
--- a/mintsaddle/decisions/direct/tests/test_direct.py
+++ b/mintsaddle/decisions/direct/tests/test_direct.py
@@ -21,7 +21,7 @@
     EndpointPublished,
     EndpointRemoved,
     GiveUp,
-    GroupBeliefs,
+    GroupAvailability,
     Incarnation,
     KnownEntry,
     Membership,
@@ -308,7 +308,7 @@
 class TestGroups:
     def test_one_refusal_speaks_for_all_ranks(self) -> None:
         """Guards against a stall at each rank of a lost group."""
-        beliefs = GroupBeliefs()
+        beliefs = GroupAvailability()
         place = RankPlace("llm/g", 1, 0, 12, is_open=True)
         other = make_endpoint("e-2", place=place._replace(rank=1))
         beliefs.record_refusal("llm/g", 1, 10.0)
@@ -319,14 +319,14 @@
         assert beliefs.takes_work(other)
 
     def test_a_false_alarm_ends_in_the_same_epoch(self) -> None:
-        beliefs = GroupBeliefs()
+        beliefs = GroupAvailability()
         beliefs.record_refusal("llm/g", 1, 10.0)
         beliefs.record_report("llm/g", 1, True, 10.6)
         assert not beliefs.is_down("llm/g")
 
     def test_a_stalled_group_is_back_with_its_next_step_only(self) -> None:
         """Guards against work for a group that still calls itself open."""
-        beliefs = GroupBeliefs()
+        beliefs = GroupAvailability()
         beliefs.record_stall("g", 1, 7, 10.0)
         beliefs.record_report("g", 1, True, 11.0)
         beliefs.record_report("g", 1, True, 11.0, step=7)
--- a/mintsaddle/decisions/direct/tests/test_pace.py
+++ b/mintsaddle/decisions/direct/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""Admission by the pace of a group."""
+"""Admission by the step time of a group."""
 
 import random
 from typing import NamedTuple
@@ -9,19 +9,19 @@
     DirectCall,
     EngineLoad,
     EntryShare,
-    GroupPaces,
+    GroupStepTimes,
     Incarnation,
     RankPlace,
     Repeat,
     StepModel,
-    admitting,
-    may_wait_for_room,
+    filter_admissible,
+    may_wait_for_slot,
     prefer_quick_groups,
 )
 from mintsaddle.decisions.direct._pace import (
-    ALL_TO_ITSELF,
+    SOLE_ENTRY_SHARE,
     STALL_SECONDS,
-    admit_share,
+    admission_share,
 )
 from mintsaddle.decisions.direct.tests.samples import ROUTE
 from mintsaddle.values import Instant
@@ -30,12 +30,12 @@
 PAUSE = 0.15
 OBJECTIVE = 0.5
 STEPS_OF_STREAM = 17
-CALLER_SECONDS = 2.0
-DAY_SECONDS = 20.0
+TIMEOUT_SECONDS = 2.0
+RUN_SECONDS = 20.0
 
 
 def step_seconds(running: int) -> float:
-    """Return how long a step takes: one and a half times PAUSE when full."""
+    """Return the step time; with all slots taken, about 1.5 times PAUSE."""
     return 0.03 + 0.001 * running
 
 
@@ -52,20 +52,20 @@
 
 
 class Stream(NamedTuple):
-    """One stream in the replay."""
+    """One stream in the simulation."""
 
     arrived_at: Instant
     steps: int = 0
     is_late: bool = False
 
 
-class Replay:
-    """One group that gets twice the streams that it bears on time."""
+class Simulation:
+    """One group with entries that send streams at a given rate."""
 
     def __init__(self, *, admits: bool) -> None:
         self._rng = random.Random(5)
         self._admits = admits
-        self._paces = [GroupPaces() for _ in range(ENTRIES)]
+        self._step_times = [GroupStepTimes() for _ in range(ENTRIES)]
         self._engines = [make_engine(rank) for rank in range(RANKS)]
         self._running: list[Stream] = []
         self._waiting: list[Stream] = []
@@ -76,7 +76,7 @@
     def run(self, rate: float) -> float:
         """Return the share of streams that are on time from start to end."""
         now = 0.0
-        while now < DAY_SECONDS:
+        while now < RUN_SECONDS:
             seconds = step_seconds(len(self._running))
             self._arrive(now, seconds, rate)
             now += seconds
@@ -92,48 +92,54 @@
                 self._waiting.append(Stream(at))
 
     def _is_admitted(self, at: Instant) -> bool:
-        paces = self._rng.choice(self._paces)
-        paces.record("g", 1, self._step, at)
+        step_times = self._rng.choice(self._step_times)
+        step_times.record("g", 1, self._step, at)
         mean = (len(self._running) + len(self._waiting)) / RANKS
-        told = self._rng.sample(self._engines, 4)
-        loads = {one.name: EngineLoad(round(mean), 1, self._step) for one in told}
-        return bool(admitting(make_call(at), told, loads, paces, at, self._rng))
+        probed = self._rng.sample(self._engines, 4)
+        loads = {
+            engine.name: EngineLoad(round(mean), 1, self._step) for engine in probed
+        }
+        return bool(
+            filter_admissible(make_call(at), probed, loads, step_times, at, self._rng)
+        )
 
     def _advance(self, now: Instant, seconds: float) -> None:
-        going = []
-        for one in self._running:
-            late = one.is_late or seconds > PAUSE
-            moved = one._replace(steps=one.steps + 1, is_late=late)
+        running = []
+        for stream in self._running:
+            late = stream.is_late or seconds > PAUSE
+            moved = stream._replace(steps=stream.steps + 1, is_late=late)
             if moved.steps < STEPS_OF_STREAM:
-                going.append(moved)
+                running.append(moved)
             else:
                 self.on_time += not moved.is_late
         waiting = [
-            one for one in self._waiting if now - one.arrived_at < CALLER_SECONDS
+            stream
+            for stream in self._waiting
+            if now - stream.arrived_at < TIMEOUT_SECONDS
         ]
-        free = RANKS * SLOTS - len(going)
-        begun, self._waiting = waiting[:free], waiting[free:]
-        for one in begun:
-            going.append(one._replace(is_late=now - one.arrived_at > OBJECTIVE))
-        self._running = going
+        free = RANKS * SLOTS - len(running)
+        started, self._waiting = waiting[:free], waiting[free:]
+        for stream in started:
+            running.append(stream._replace(is_late=now - stream.arrived_at > OBJECTIVE))
+        self._running = running
 
 
 class TestOverload:
     RATE = 100.0
-    """Streams a second: twice what 120 running ones of 17 steps make."""
+    """Streams per second: twice what 120 running ones of 17 steps complete."""
 
-    def test_what_a_group_bears_is_on_time(self) -> None:
-        """Guards against a crowd that makes everybody late."""
-        assert Replay(admits=True).run(self.RATE) > 0.3
+    def test_streams_within_capacity_are_on_time(self) -> None:
+        """Guards against an overload that makes all streams late."""
+        assert Simulation(admits=True).run(self.RATE) > 0.3
 
-    def test_without_admission_hardly_anything_is(self) -> None:
-        assert Replay(admits=False).run(self.RATE) < 0.1
+    def test_without_admission_hardly_any_are(self) -> None:
+        assert Simulation(admits=False).run(self.RATE) < 0.1
 
     def test_a_calm_group_refuses_nothing(self) -> None:
-        assert Replay(admits=True).run(30.0) > 0.9
+        assert Simulation(admits=True).run(30.0) > 0.9
 
 
-class TestShares:
+class TestAdmissionShare:
     @pytest.mark.parametrize(
         ("step", "pause", "late", "share"),
         [
@@ -148,182 +154,193 @@
     def test_it_falls_as_steps_get_longer(
         self, step: float, pause: float, *, late: bool, share: float
     ) -> None:
-        assert admit_share(step, pause, late=late) == pytest.approx(share)
+        assert admission_share(step, pause, late=late) == pytest.approx(share)
 
 
-class TestPaces:
-    def test_steps_of_one_epoch_give_the_pace(self) -> None:
-        paces = GroupPaces()
+class TestStepTimes:
+    def test_steps_of_one_epoch_give_the_step_time(self) -> None:
+        step_times = GroupStepTimes()
         for at, epoch, step in ((0.0, 1, 5), (0.5, 1, 10), (0.4, 1, 9)):
-            paces.record("g", epoch, step, at)
-        assert paces.step_seconds("g", 0.5) == pytest.approx(0.1)
+            step_times.record("g", epoch, step, at)
+        assert step_times.step_seconds("g", 0.5) == pytest.approx(0.1)
 
     def test_a_new_epoch_begins_anew(self) -> None:
-        paces = GroupPaces()
-        paces.record("g", 1, 500, 0.0)
-        paces.record("g", 2, 3, 0.5)
-        assert paces.step_seconds("g", 0.5) == 0.0
-        paces.record("g", 1, 501, 0.6)
-        paces.record("g", 2, 5, 0.7)
-        assert paces.step_seconds("g", 0.7) == pytest.approx(0.1)
+        step_times = GroupStepTimes()
+        step_times.record("g", 1, 500, 0.0)
+        step_times.record("g", 2, 3, 0.5)
+        assert step_times.step_seconds("g", 0.5) == 0.0
+        step_times.record("g", 1, 501, 0.6)
+        step_times.record("g", 2, 5, 0.7)
+        assert step_times.step_seconds("g", 0.7) == pytest.approx(0.1)
 
 
 LOADS = {"i-0": EngineLoad(3, 1, 1), "i-1": EngineLoad(6, 1, 1)}
-"""One engine whose places are taken, one with as many requests waiting."""
+"""One engine with all slots taken, and one with as many requests queued."""
 
 
 class TestSlowGroups:
-    """A slow rank holds up its whole group, which then has few requests."""
+    """A slow rank slows its whole group, which then gets few requests."""
 
     def make_ranked(self) -> list[Incarnation]:
         engines = [make_engine(rank) for rank in range(4)]
         quick = RankPlace("q", 1, 0, RANKS, is_open=True)
-        return [*engines[:2], *(one._replace(place=quick) for one in engines[2:])]
+        return [*engines[:2], *(engine._replace(place=quick) for engine in engines[2:])]
 
-    def make_paces(self, *groups: str) -> GroupPaces:
-        paces = GroupPaces()
+    def make_step_times(self, *groups: str) -> GroupStepTimes:
+        step_times = GroupStepTimes()
         for group in groups:
-            paces.record(group, 1, 0, 0.0)
-            paces.record(group, 1, 2, 2 * 1.6 * PAUSE)
-        return paces
+            step_times.record(group, 1, 0, 0.0)
+            step_times.record(group, 1, 2, 2 * 1.6 * PAUSE)
+        return step_times
 
-    def test_streams_go_to_groups_that_bear_them_on_time(self) -> None:
-        """Guards against streams for the slow group because it looks idle."""
+    def test_streams_go_to_groups_that_serve_them_on_time(self) -> None:
+        """Guards against streams sent to the slow group for its low load."""
         ranked = self.make_ranked()
         now = 2 * 1.6 * PAUSE
-        tried, watched = prefer_quick_groups(
-            make_call(now), ranked, self.make_paces("g"), now
+        tried, polled = prefer_quick_groups(
+            make_call(now), ranked, self.make_step_times("g"), now
         )
         assert tried == ranked[2:]
-        assert watched == ranked[:1]
+        assert polled == ranked[:1]
 
     def test_while_all_are_slow_all_are_tried(self) -> None:
         ranked = self.make_ranked()
         now = 2 * 1.6 * PAUSE
-        paces = self.make_paces("g", "q")
-        assert prefer_quick_groups(make_call(now), ranked, paces, now) == (ranked, [])
+        step_times = self.make_step_times("g", "q")
+        assert prefer_quick_groups(make_call(now), ranked, step_times, now) == (
+            ranked,
+            [],
+        )
 
 
 class TestStalls:
     """Ranks of a group that has lost one wait for it before they refuse."""
 
     def test_a_busy_group_that_begins_no_step_is_stalled(self) -> None:
-        """Guards against streams that wait in a group that stands still."""
-        paces = GroupPaces()
+        """Guards against streams that are sent to a stalled group."""
+        step_times = GroupStepTimes()
         for at in (0.0, 0.3, STALL_SECONDS):
-            paces.record("g", 1, 7, at, is_busy=True)
-        assert paces.is_stalled("g", STALL_SECONDS)
-        paces.record("g", 1, 8, 0.8, is_busy=True)
-        assert not paces.is_stalled("g", 0.8)
+            step_times.record("g", 1, 7, at, is_busy=True)
+        assert step_times.is_stalled("g", STALL_SECONDS)
+        step_times.record("g", 1, 8, 0.8, is_busy=True)
+        assert not step_times.is_stalled("g", 0.8)
 
     def test_an_idle_group_is_not(self) -> None:
-        paces = GroupPaces()
+        step_times = GroupStepTimes()
         for at, is_busy in ((0.0, False), (5.0, False), (5.1, True)):
-            paces.record("g", 1, 7, at, is_busy=is_busy)
-        assert not paces.is_stalled("g", 5.1)
+            step_times.record("g", 1, 7, at, is_busy=is_busy)
+        assert not step_times.is_stalled("g", 5.1)
 
     def test_a_group_that_nobody_polled_is_not(self) -> None:
-        """Guards against a group that was idle between two requests."""
-        paces = GroupPaces()
+        """Guards against a stall seen in a group that was idle in between."""
+        step_times = GroupStepTimes()
         for at in (0.0, 5.0):
-            paces.record("g", 1, 7, at, is_busy=True)
-        assert not paces.is_stalled("g", 5.0)
+            step_times.record("g", 1, 7, at, is_busy=True)
+        assert not step_times.is_stalled("g", 5.0)
 
     def test_older_reports_change_nothing(self) -> None:
-        paces = GroupPaces()
-        paces.record("g", 1, 7, 0.0, is_busy=True)
-        paces.record("g", 1, 6, 0.4, is_busy=True)
-        assert paces.is_stalled("g", STALL_SECONDS)
+        step_times = GroupStepTimes()
+        step_times.record("g", 1, 7, 0.0, is_busy=True)
+        step_times.record("g", 1, 6, 0.4, is_busy=True)
+        assert step_times.is_stalled("g", STALL_SECONDS)
 
 
 class TestWaiting:
     def test_a_late_stream_waits_and_a_fresh_one_comes_back(self) -> None:
-        """Guards against callers that are refused a second time."""
+        """Guards against callers that are refused again when they retry."""
         fresh = make_call(0.0)
         returning = fresh._replace(due_at=0.0)
-        assert not may_wait_for_room(fresh, {}, 0.1)
-        assert may_wait_for_room(returning, {}, 0.1)
-        assert not may_wait_for_room(returning, {}, 1.9)
+        assert not may_wait_for_slot(fresh, {}, 0.1)
+        assert may_wait_for_slot(returning, {}, 0.1)
+        assert not may_wait_for_slot(returning, {}, 1.9)
 
     def test_a_fresh_stream_waits_for_a_group_that_has_just_formed(self) -> None:
         fresh = make_call(0.0)
         loads = {"i-0": EngineLoad(2, 2, 5, has_first_map=True)}
-        assert may_wait_for_room(fresh, loads, 0.1)
+        assert may_wait_for_slot(fresh, loads, 0.1)
 
 
 class TestFirstMap:
-    """A group that is back begins with a map that follows no popularity."""
+    """A group that has formed again starts with a map without popularity."""
 
     STEPS = StepModel(token_seconds=0.00585, request_seconds=0.00093, tokens=6)
     CALL_PAUSE = 0.12
 
-    def found(
+    def filter_engine(
         self,
         requests: int,
         *,
         late: bool,
         step_seconds: float = 0.0,
-        share: EntryShare = ALL_TO_ITSELF,
+        share: EntryShare = SOLE_ENTRY_SHARE,
     ) -> list[Incarnation]:
         call = make_call(0.0)
         route = call.route._replace(longest_pause=self.CALL_PAUSE)
         call = call._replace(route=route, due_at=-1.0 if late else 9.0)
-        paces = GroupPaces()
+        step_times = GroupStepTimes()
         if step_seconds:
-            paces.record("g", 2, 0, 0.0)
-            paces.record("g", 2, 10, 10 * step_seconds)
+            step_times.record("g", 2, 0, 0.0)
+            step_times.record("g", 2, 10, 10 * step_seconds)
         engine = make_engine(0)._replace(slots=5)
         loads = {engine.name: EngineLoad(requests, 2, 10, has_first_map=True)}
         now, rng = 10 * step_seconds, random.Random(1)
-        return admitting(call, [engine], loads, paces, now, rng, self.STEPS, share)
+        return filter_admissible(
+            call, [engine], loads, step_times, now, rng, self.STEPS, share
+        )
 
-    @pytest.mark.parametrize(("requests", "let_in"), [(0, True), (2, True), (3, False)])
-    def test_only_what_it_bears_on_time_is_let_in(
-        self, requests: int, *, let_in: bool
+    @pytest.mark.parametrize(
+        ("requests", "is_admitted"), [(0, True), (2, True), (3, False)]
+    )
+    def test_only_what_it_can_serve_on_time_is_admitted(
+        self, requests: int, *, is_admitted: bool
     ) -> None:
-        """Guards against a return at which everybody is late by pauses."""
-        assert bool(self.found(requests, late=False)) is let_in
+        """Guards against long pauses of all streams when a group is back."""
+        assert bool(self.filter_engine(requests, late=False)) is is_admitted
 
-    @pytest.mark.parametrize(("requests", "let_in"), [(0, True), (1, True), (2, False)])
-    def test_late_streams_leave_places_to_fresh_ones(
-        self, requests: int, *, let_in: bool
+    @pytest.mark.parametrize(
+        ("requests", "is_admitted"), [(0, True), (1, True), (2, False)]
+    )
+    def test_late_streams_leave_slots_to_fresh_ones(
+        self, requests: int, *, is_admitted: bool
     ) -> None:
-        assert bool(self.found(requests, late=True)) is let_in
+        assert bool(self.filter_engine(requests, late=True)) is is_admitted
 
-    def test_observed_steps_tell_more_than_the_model(self) -> None:
-        """Guards against refusals by a group whose first map does well."""
-        assert self.found(3, late=False, step_seconds=0.06)
+    def test_observed_steps_override_the_model(self) -> None:
+        """Guards against refusals while the first map is balanced enough."""
+        assert self.filter_engine(3, late=False, step_seconds=0.06)
 
     @pytest.mark.parametrize(
-        ("in_flight", "late", "let_in"),
+        ("in_flight", "late", "is_admitted"),
         [(2, True, True), (3, True, False), (7, False, True), (8, False, False)],
     )
     def test_an_entry_keeps_to_its_share_while_engines_look_idle(
-        self, in_flight: int, *, late: bool, let_in: bool
+        self, in_flight: int, *, late: bool, is_admitted: bool
     ) -> None:
-        """Guards against a crowd that arrives before engines tell of it."""
+        """Guards against a burst that arrives before engines report it."""
         share = EntryShare(in_flight, engines=RANKS, entries=40)
-        assert bool(self.found(0, late=late, share=share)) is let_in
+        assert bool(self.filter_engine(0, late=late, share=share)) is is_admitted
 
-    def test_without_a_published_model_all_places_count(self) -> None:
+    def test_without_a_published_model_all_slots_count(self) -> None:
         engine = make_engine(0)._replace(slots=5)
         loads = {engine.name: EngineLoad(4, 2, 10, has_first_map=True)}
         rng = random.Random(1)
-        paces = GroupPaces()
-        found = admitting(make_call(0.0), [engine], loads, paces, 0.0, rng)
+        step_times = GroupStepTimes()
+        found = filter_admissible(make_call(0.0), [engine], loads, step_times, 0.0, rng)
         assert found == [engine]
 
 
 class TestExceptions:
-    def test_a_stream_that_has_begun_always_goes_on(self) -> None:
+    def test_a_stream_that_has_begun_is_always_admitted(self) -> None:
         engines = [make_engine(1)]
-        call = make_call(0.0)._replace(began=True)
+        call = make_call(0.0)._replace(response_started=True)
         rng = random.Random(1)
-        found = admitting(call, engines, LOADS, GroupPaces(), 0.0, rng)
+        found = filter_admissible(call, engines, LOADS, GroupStepTimes(), 0.0, rng)
         assert found == engines
 
     def test_an_engine_with_a_long_queue_is_left_out(self) -> None:
         engines = [make_engine(0), make_engine(1)]
         rng = random.Random(1)
-        found = admitting(make_call(0.0), engines, LOADS, GroupPaces(), 0.0, rng)
+        found = filter_admissible(
+            make_call(0.0), engines, LOADS, GroupStepTimes(), 0.0, rng
+        )
         assert found == engines[:1]
--- a/mintsaddle/decisions/direct/tests/test_placement.py
+++ b/mintsaddle/decisions/direct/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement on hundreds of engines of few places by a hundred entries."""
+"""Placement by a hundred entries on hundreds of engines with few slots."""
 
 import heapq
 import random
@@ -6,20 +6,20 @@
 import pytest
 
 from mintsaddle.decisions.direct import (
-    MOST_PROBES,
-    PROBES,
+    MAX_PROBES,
+    PROBES_PER_ROUND,
     Incarnation,
     RankPlace,
     choose_by_load,
-    has_free_place,
-    lead_each_group,
+    group_leaders_first,
+    has_free_slot,
     rank_incarnations,
 )
 from mintsaddle.decisions.routing import RoutingState, record_finished, record_sent
 
 ENTRIES, ENGINES, SLOTS = 98, 192, 3
 HOLD_SECONDS = 1.65
-DAY_SECONDS = 12.0
+RUN_SECONDS = 12.0
 
 
 def make_engine(number: int) -> Incarnation:
@@ -29,8 +29,8 @@
     )
 
 
-class Replay:
-    """Streams that arrive by chance and hold a place for a while."""
+class Simulation:
+    """Streams that arrive at random and hold a slot for a while."""
 
     def __init__(self, utilisation: float, probes: int) -> None:
         self._rng = random.Random(7)
@@ -41,13 +41,13 @@
             RoutingState(f"e-{number}", "abcde"[number % 5])
             for number in range(ENTRIES)
         ]
-        self._loads = dict.fromkeys((one.name for one in self._engines), 0)
+        self._loads = dict.fromkeys((engine.name for engine in self._engines), 0)
         self._ends: list[tuple[float, str, int]] = []
 
     def run(self) -> float:
-        """Return the share of streams that found no free place."""
+        """Return the share of streams that found no free slot."""
         now, arrived, waited = 0.0, 0, 0
-        while now < DAY_SECONDS:
+        while now < RUN_SECONDS:
             now += self._rng.expovariate(self._rate)
             self._finish_until(now)
             entry = self._rng.randrange(ENTRIES)
@@ -69,21 +69,21 @@
     def _choose(self, state: RoutingState, now: float) -> Incarnation:
         ranked = rank_incarnations(state, self._engines, frozenset(), now, self._rng)
         loads: dict[str, int] = {}
-        for first in range(0, self._probes, PROBES):
-            asked = ranked[first : first + PROBES]
-            loads.update((one.name, self._loads[one.name]) for one in asked)
-            if has_free_place(asked, loads):
+        for first in range(0, self._probes, PROBES_PER_ROUND):
+            probed = ranked[first : first + PROBES_PER_ROUND]
+            loads.update((engine.name, self._loads[engine.name]) for engine in probed)
+            if has_free_slot(probed, loads):
                 break
-        return choose_by_load(ranked[:MOST_PROBES], loads)
+        return choose_by_load(ranked[:MAX_PROBES], loads)
 
 
 class TestProbes:
     @pytest.mark.parametrize("utilisation", [0.66, 0.85])
-    def test_95_in_100_streams_find_a_free_place(self, utilisation: float) -> None:
-        assert Replay(utilisation, MOST_PROBES).run() < 0.05
+    def test_95_in_100_streams_find_a_free_slot(self, utilisation: float) -> None:
+        assert Simulation(utilisation, MAX_PROBES).run() < 0.05
 
     def test_without_probes_more_wait(self) -> None:
-        assert Replay(0.66, 0).run() > 0.05
+        assert Simulation(0.66, 0).run() > 0.05
 
 
 class TestChoice:
@@ -97,7 +97,7 @@
             ({"i-1": 0, "i-2": 0}, "i-1"),
             ({"i-3": 5}, "i-3"),
         ],
-        ids=["none told", "least loaded", "first of equals", "the only one that told"],
+        ids=["none probed", "least loaded", "first of equals", "the only one probed"],
     )
     def test_the_least_loaded_is_chosen(
         self, loads: dict[str, int], chosen: str
@@ -105,8 +105,8 @@
         assert choose_by_load(self.ENGINES, loads).name == chosen
 
 
-class TestPaces:
-    """One slow rank holds up its group; the other group has room."""
+class TestStepTimes:
+    """One slow rank slows its group; the other group has capacity."""
 
     def choose(self, slow_requests: int, quick_requests: int) -> str:
         def make(name: str, group: str) -> Incarnation:
@@ -118,22 +118,22 @@
         return choose_by_load(engines, loads, {"g": 0.13, "h": 0.07}).name
 
     def test_a_group_with_longer_steps_gets_fewer_requests(self) -> None:
-        """Guards against pauses that grow while the other group has room."""
+        """Guards against longer pauses while the other group has capacity."""
         assert self.choose(slow_requests=2, quick_requests=3) == "quick"
         assert self.choose(slow_requests=1, quick_requests=4) == "slow"
 
     def test_each_group_is_probed(self) -> None:
-        """Guards against a data centre that knows of one group only."""
+        """Guards against probing only the one group of a data centre."""
         engines = [
             make_engine(number)._replace(
                 place=RankPlace(group, 1, number, 4, is_open=True)
             )
             for number, group in enumerate("ggggh")
         ]
-        assert lead_each_group(engines)[:2] == [engines[0], engines[4]]
-        assert sorted(lead_each_group(engines)) == sorted(engines)
+        assert group_leaders_first(engines)[:2] == [engines[0], engines[4]]
+        assert sorted(group_leaders_first(engines)) == sorted(engines)
 
-    def test_an_unknown_pace_counts_as_the_best_known(self) -> None:
+    def test_an_unknown_step_time_counts_as_the_best_known(self) -> None:
         place = RankPlace("new", 1, 0, 1, is_open=True)
         engine = Incarnation("i", "s", "i", "a", 5, False, 0.0, 1, place)
         assert choose_by_load([engine], {"i": 1}, {"g": 0.13}) == engine
--- a/mintsaddle/decisions/direct/tests/test_rate_limits.py
+++ b/mintsaddle/decisions/direct/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that limit what they get from all entries together."""
+"""Rate limits of endpoints that hold for all entries together."""
 
 import itertools
 from typing import ClassVar
@@ -13,28 +13,28 @@
     run_state_machine_as_test,
 )
 
-from mintsaddle.decisions.direct import RateGrants, RateLimits
+from mintsaddle.decisions.direct import PermitGranter, RateLimits
 from mintsaddle.decisions.direct._rate_limits import (
     GRANT_SHARE,
-    LEAST_RATE,
-    MOST_SAVED,
-    YOUNG_SECONDS,
+    MAX_BURST_PERMITS,
+    MIN_GRANT_RATE,
+    NEW_GRANTER_SECONDS,
 )
 
 DESK = "desk-1"
 
 
 def grant_for(
-    grants: RateGrants, rate: float, begin: float, end: float, gap: float = 0.01
+    granter: PermitGranter, rate: float, begin: float, end: float, gap: float = 0.01
 ) -> int:
-    """Ask all the time and return how many requests were granted."""
+    """Request permits at each gap and return how many were granted."""
     count = round((end - begin) / gap)
     times = [begin + number * gap for number in range(count)]
-    return sum(grants.ask(DESK, rate, at).is_granted for at in times)
+    return sum(granter.request_permit(DESK, rate, at).is_granted for at in times)
 
 
-class TestBeliefs:
-    def test_the_newest_answer_counts_whoever_brings_it(self) -> None:
+class TestRateLimits:
+    def test_the_newest_answer_counts_whoever_reports_it(self) -> None:
         limits = RateLimits()
         assert limits.record(DESK, 5.0, 10.0)
         assert not limits.record(DESK, 9.0, 9.0)
@@ -43,7 +43,7 @@
         assert not limits.record(DESK, 5.0, 11.5)
         assert not limits.is_limited(DESK)
 
-    def test_a_limit_that_ends_needs_no_permit(self) -> None:
+    def test_a_limit_that_is_lifted_needs_no_permit(self) -> None:
         limits = RateLimits()
         limits.record(DESK, 5.0, 10.0)
         limits.record_denied(DESK, 20.0)
@@ -53,87 +53,89 @@
         assert limits.takes_work(DESK, 11.0)
         assert limits.next_permit_at([DESK], 11.0) is None
 
-    def test_an_endpoint_that_never_named_a_rate_costs_nothing(self) -> None:
+    def test_an_endpoint_that_never_stated_a_rate_is_not_recorded(self) -> None:
         limits = RateLimits()
         assert not limits.record(DESK, None, 1.0)
         assert limits.limit_of(DESK) is None
 
 
-class TestGrants:
+class TestPermitGranter:
     def test_whoever_asks_may_use_the_whole_rate(self) -> None:
-        """Guards against shares of entries that have no request."""
-        grants = RateGrants()
-        grant_for(grants, 10.0, 0.0, YOUNG_SECONDS)
-        granted = grant_for(grants, 10.0, YOUNG_SECONDS, YOUNG_SECONDS + 10.0)
+        """Guards against capacity reserved for entries without requests."""
+        granter = PermitGranter()
+        grant_for(granter, 10.0, 0.0, NEW_GRANTER_SECONDS)
+        granted = grant_for(
+            granter, 10.0, NEW_GRANTER_SECONDS, NEW_GRANTER_SECONDS + 10.0
+        )
         assert granted == pytest.approx(100 * GRANT_SHARE, abs=2)
 
-    def test_nothing_is_sent_at_once_when_a_limit_is_first_named(self) -> None:
-        assert grant_for(RateGrants(), 4.0, 0.0, 0.4) == 0
+    def test_nothing_is_granted_at_once_when_a_limit_is_first_stated(self) -> None:
+        assert grant_for(PermitGranter(), 4.0, 0.0, 0.4) == 0
 
     def test_a_rate_that_falls_leaves_no_saved_burst(self) -> None:
-        grants = RateGrants()
-        grant_for(grants, 200.0, 0.0, 1.0)
-        assert grant_for(grants, 0.5, 5.0, 6.0) <= MOST_SAVED
+        granter = PermitGranter()
+        grant_for(granter, 200.0, 0.0, 1.0)
+        assert grant_for(granter, 0.5, 5.0, 6.0) <= MAX_BURST_PERMITS
 
     def test_an_endpoint_that_takes_nothing_is_still_asked(self) -> None:
-        """Guards against a limit that ends unnoticed."""
-        granted = grant_for(RateGrants(), 0.0, 0.0, 20.0)
-        assert granted == pytest.approx(20 * LEAST_RATE, abs=1)
+        """Guards against a lifted limit that no entry notices."""
+        granted = grant_for(PermitGranter(), 0.0, 0.0, 20.0)
+        assert granted == pytest.approx(20 * MIN_GRANT_RATE, abs=1)
 
-    def test_the_next_permit_comes_when_it_was_said(self) -> None:
-        grants = RateGrants()
-        permit = grants.ask(DESK, 2.0, 100.0)
+    def test_the_next_permit_is_granted_when_announced(self) -> None:
+        granter = PermitGranter()
+        permit = granter.request_permit(DESK, 2.0, 100.0)
         assert not permit.is_granted
-        assert not grants.ask(DESK, 2.0, permit.next_at - 0.1).is_granted
-        assert grants.ask(DESK, 2.0, permit.next_at + 0.01).is_granted
+        assert not granter.request_permit(DESK, 2.0, permit.next_at - 0.1).is_granted
+        assert granter.request_permit(DESK, 2.0, permit.next_at + 0.01).is_granted
 
 
 class Fleet(RuleBasedStateMachine):
-    """Entries before one endpoint whose limit comes, falls, rises and ends.
+    """Entries that send to one endpoint with a changing rate limit.
 
-    Each entry has a view of who grants; views differ for as long as gossip
-    takes. A message between entries may be lost. The bound counts what those
-    entries send that have passed on an answer with a limit.
+    Each entry has its own view of who the granter is; views differ until
+    gossip has converged. Messages between entries may be lost. The bound
+    counts only requests of entries that have received a response with a limit.
     """
 
     asks_for_permits: ClassVar[bool] = True
     ENTRIES: ClassVar[int] = 6
-    STEP: ClassVar[float] = 0.25
-    NOTICE: ClassVar[float] = 0.5
-    CONTACT: ClassVar[float] = 4.0
+    STEP_SECONDS: ClassVar[float] = 0.25
+    NOTICE_SECONDS: ClassVar[float] = 0.5
+    CONTACT_SECONDS: ClassVar[float] = 4.0
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
         self.rate: float | None = None
-        self.first_named_at: float | None = None
+        self.first_stated_at: float | None = None
         self.rates: list[tuple[float, float]] = []
         self.limits = [RateLimits() for _ in range(self.ENTRIES)]
-        self.grants = [RateGrants() for _ in range(self.ENTRIES)]
+        self.granters = [PermitGranter() for _ in range(self.ENTRIES)]
         self.granter = 0
         self.views = [0] * self.ENTRIES
         self.views_since = 0.0
-        self.bound_since = [float("inf")] * self.ENTRIES
+        self.limited_since = [float("inf")] * self.ENTRIES
         self.arrivals: list[float] = []
 
     @rule(rate=st.sampled_from([0.0, 0.4, 3.0, 12.0, 40.0]))
-    def name_rate(self, rate: float) -> None:
+    def state_rate(self, rate: float) -> None:
         self.rate = rate
-        self.first_named_at = self.first_named_at or self.now
+        self.first_stated_at = self.first_stated_at or self.now
         self.rates.append((self.now, rate))
 
     @rule()
-    def end_limit(self) -> None:
+    def lift_limit(self) -> None:
         self.rate = None
-        self.first_named_at = None
+        self.first_stated_at = None
         self.rates.clear()
         self.arrivals.clear()
-        self.bound_since = [float("inf")] * self.ENTRIES
+        self.limited_since = [float("inf")] * self.ENTRIES
 
     @rule(granter=st.integers(0, 5), seeing=st.sets(st.integers(0, 5)))
     def change_granter(self, granter: int, seeing: set[int]) -> None:
-        """An entry joins, dies or is cut off; some entries notice at once."""
-        if self.now - self.views_since < YOUNG_SECONDS:
+        """Let an entry join, die or be cut off; some notice at once."""
+        if self.now - self.views_since < NEW_GRANTER_SECONDS:
             return
         self.views_since = self.now
         self.granter = granter
@@ -145,13 +147,13 @@
         steps=st.integers(1, 8),
     )
     def pass_time(self, requests: list[tuple[int, bool]], steps: int) -> None:
-        """Have some requests in each step; a flag says a message is lost."""
+        """Send requests in each step; a flag marks a lost message."""
         for _ in range(steps):
-            self.now += self.STEP
-            if self.now - self.views_since >= YOUNG_SECONDS - 1.0:
+            self.now += self.STEP_SECONDS
+            if self.now - self.views_since >= NEW_GRANTER_SECONDS - 1.0:
                 self.views = [self.granter] * self.ENTRIES
             for number, (entry, is_lost) in enumerate(requests):
-                at = self.now + number * self.STEP / 100
+                at = self.now + number * self.STEP_SECONDS / 100
                 self._send(entry, at, is_lost=is_lost)
 
     def _send(self, entry: int, at: float, *, is_lost: bool) -> None:
@@ -164,52 +166,52 @@
             held = self.limits[granter].limit_of(DESK)
             assert held is not None
             if held.rate is not None:
-                permit = self.grants[granter].ask(DESK, held.rate, at)
+                permit = self.granters[granter].request_permit(DESK, held.rate, at)
                 if not permit.is_granted:
                     limits.record_denied(DESK, permit.next_at)
                     return
-        if at >= self.bound_since[entry] + self.NOTICE:
+        if at >= self.limited_since[entry] + self.NOTICE_SECONDS:
             self.arrivals.append(at)
         limits.record(DESK, self.rate, at)
         if self.rate is not None:
-            self.bound_since[entry] = min(self.bound_since[entry], at)
+            self.limited_since[entry] = min(self.limited_since[entry], at)
 
     @invariant()
-    def keeps_the_bound(self) -> None:
-        if self.first_named_at is None:
+    def stays_within_bound(self) -> None:
+        if self.first_stated_at is None:
             return
-        begin = self.first_named_at + self.CONTACT
+        begin = self.first_stated_at + self.CONTACT_SECONDS
         counted = [at for at in self.arrivals if at >= begin]
         for first in counted:
             within = [at for at in counted if first <= at < first + 4.0]
             assert len(within) <= 1.5 * self._allowed(first, first + 4.0) + 5
 
     def _allowed(self, begin: float, end: float) -> float:
-        """Return what the highest rates of a window allow.
+        """Return how many requests the highest rate of a window allows.
 
-        An entry hears of a lower rate with its next answer only.
+        An entry learns of a lower rate only from its next response.
         """
         times = [*(at for at, _ in self.rates), float("inf")]
         spans = zip(self.rates, itertools.islice(times, 1, None), strict=False)
-        # A rate counts for as long as entries may not have heard of the next.
+        # A rate counts as long as some entry may not know the next one.
         in_force = [
             rate
             for (at, rate), until in spans
-            if at < end and until + 8 * self.STEP > begin
+            if at < end and until + 8 * self.STEP_SECONDS > begin
         ]
         return 4.0 * max(in_force, default=0.0)
 
 
-class GreedyFleet(Fleet):
+class UnlimitedFleet(Fleet):
     asks_for_permits = False
 
 
 class TestBound:
-    def test_no_endpoint_gets_more_than_it_takes(self) -> None:
+    def test_no_endpoint_gets_more_than_its_limit(self) -> None:
         run_state_machine_as_test(Fleet, settings=settings(max_examples=150))
 
-    def test_entries_that_ask_nobody_break_it(self) -> None:
+    def test_entries_without_permits_exceed_it(self) -> None:
         with pytest.raises(AssertionError):
             run_state_machine_as_test(
-                GreedyFleet, settings=settings(max_examples=300, print_blob=False)
+                UnlimitedFleet, settings=settings(max_examples=300, print_blob=False)
             )
--- a/mintsaddle/decisions/direct/tests/test_urgency.py
+++ b/mintsaddle/decisions/direct/tests/test_urgency.py
@@ -1,9 +1,9 @@
-"""Who goes first under overload."""
+"""Order of requests under overload."""
 
 import pytest
 
 from mintsaddle.decisions.direct import (
-    FIRST_URGENCY,
+    HIGHEST_URGENCY,
     LATE_URGENCY,
     DirectCall,
     RouteDeadlines,
@@ -26,7 +26,7 @@
             (CALL._replace(priority=0), 1.0, LATE_URGENCY),
             (CALL._replace(priority=7), 0.0, LATE_URGENCY - 1),
             (CALL._replace(priority=7), 1.0, 9),
-            (CALL._replace(began=True), 5.0, FIRST_URGENCY),
+            (CALL._replace(response_started=True), 5.0, HIGHEST_URGENCY),
         ],
     )
     def test_what_can_be_on_time_goes_before_what_is_late(
@@ -36,32 +36,32 @@
 
 
 class TestRouteDeadlines:
-    def test_a_caller_that_comes_back_is_known_by_what_it_has_left(self) -> None:
-        """Guards against late callers that go before fresh ones."""
+    def test_a_returning_caller_is_recognised_by_its_time_left(self) -> None:
+        """Guards against late callers that go before new ones."""
         deadlines = RouteDeadlines()
         deadlines.note("draft", 8.0)
         deadlines.note("draft", 4.25)
         assert deadlines.is_returning("draft", 4.25)
 
-    def test_callers_with_somewhat_shorter_times_are_fresh(self) -> None:
-        """Guards against callers held back since others bring more."""
+    def test_callers_with_somewhat_shorter_times_are_new(self) -> None:
+        """Guards against new callers ranked late for a shorter deadline."""
         deadlines = RouteDeadlines()
         deadlines.note("draft", 8.0)
         assert not deadlines.is_returning("draft", 6.85)
 
-    def test_a_first_request_is_fresh(self) -> None:
+    def test_a_first_request_is_new(self) -> None:
         assert not RouteDeadlines().is_returning("draft", 3.0)
 
     def test_shorter_deadlines_are_learned(self) -> None:
-        """Guards against callers late for good by a shorter timeout."""
+        """Guards against callers that count as late permanently."""
         deadlines = RouteDeadlines()
         deadlines.note("draft", 8.0)
         for _ in range(128):
             deadlines.note("draft", 4.0)
         assert not deadlines.is_returning("draft", 4.0)
 
-    def test_routes_that_are_gone_are_forgotten(self) -> None:
-        """An entry's memory grows by every route that was ever published."""
+    def test_removed_routes_are_forgotten(self) -> None:
+        """Guards against memory that grows with every published route."""
         deadlines = RouteDeadlines()
         deadlines.note("draft", 8.0)
         deadlines.note("old", 8.0)
--- a/mintsaddle/direct/_choice.py
+++ b/mintsaddle/direct/_choice.py
@@ -3,18 +3,18 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from mintsaddle.decisions.direct import (
-    MOST_PROBES,
-    PROBES,
+    MAX_PROBES,
+    PROBES_PER_ROUND,
     DirectCall,
     EngineLoad,
     Incarnation,
-    admitting,
     choose_by_load,
-    has_free_place,
+    filter_admissible,
+    group_leaders_first,
+    has_free_slot,
     hold_until,
     is_late,
-    lead_each_group,
-    may_wait_for_room,
+    may_wait_for_slot,
     place_at,
     prefer_quick_groups,
     rank_incarnations,
@@ -61,17 +61,17 @@
         with gateway.lock:
             now = gateway.now()
             ranked, slow = prefer_quick_groups(call, ranked, gateway.paces, now)
-        ranked = lead_each_group(ranked)
+        ranked = group_leaders_first(ranked)
         loads = _probe_loads(gateway, ranked, slow)
         admitted = _admit(gateway, call, ranked, loads)
         if admitted:
             endpoint = _take(gateway, call, admitted, loads)
             if endpoint is not None:
                 return endpoint
-        elif may_wait_for_room(call, loads, gateway.now()):
+        elif may_wait_for_slot(call, loads, gateway.now()):
             _wait_for_room(gateway, is_gone)
         else:
-            _record_not_admitted(gateway, call, ranked[:MOST_PROBES], loads)
+            _record_not_admitted(gateway, call, ranked[:MAX_PROBES], loads)
             return _reason_full(gateway)
 
 
@@ -103,9 +103,9 @@
     table = gateway.directory.table
     service = table.services.get(call.service) if table else None
     with gateway.lock:
-        return admitting(
+        return filter_admissible(
             call,
-            ranked[:MOST_PROBES],
+            ranked[:MAX_PROBES],
             loads,
             gateway.paces,
             gateway.now(),
@@ -164,15 +164,15 @@
         slow: Engines that are only asked for the pace of their groups.
     """
     loads: dict[str, EngineLoad] = {}
-    for first in range(0, min(len(ranked), MOST_PROBES), PROBES):
-        asked = list(ranked[first : first + PROBES])
+    for first in range(0, min(len(ranked), MAX_PROBES), PROBES_PER_ROUND):
+        asked = list(ranked[first : first + PROBES_PER_ROUND])
         told = gateway.probe.ask([*asked, *slow] if first == 0 else asked)
         loads.update(told)
         _record_paths(gateway, asked, told)
         requests = {name: load.requests for name, load in told.items()}
-        if not loads or has_free_place(asked, requests):
+        if not loads or has_free_slot(asked, requests):
             break
-    _record_paces(gateway, [*ranked[:MOST_PROBES], *slow], loads)
+    _record_paces(gateway, [*ranked[:MAX_PROBES], *slow], loads)
     return loads
 
 
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -12,8 +12,8 @@
     Directory,
     EndpointMoved,
     EntryShare,
-    GroupBeliefs,
-    GroupPaces,
+    GroupAvailability,
+    GroupStepTimes,
     Incarnation,
     Position,
     PublishedItem,
@@ -69,8 +69,8 @@
         )
         self._replica = Replica(PUBLISHED_PREFIX)
         self._directory = Directory()
-        self._groups = GroupBeliefs()
-        self._paces = GroupPaces()
+        self._groups = GroupAvailability()
+        self._paces = GroupStepTimes()
         self._groups_changed = threading.Condition(self._lock)
         self._reach = Reach(
             settings.data_centre, self._lock, self.now, self._data_centres
@@ -121,12 +121,12 @@
         return self._deadlines
 
     @property
-    def groups(self) -> GroupBeliefs:
+    def groups(self) -> GroupAvailability:
         """Which groups take no work; use it under the lock."""
         return self._groups
 
     @property
-    def paces(self) -> GroupPaces:
+    def paces(self) -> GroupStepTimes:
         """How long the steps of groups take; use it under the lock."""
         return self._paces
 
--- a/mintsaddle/direct/_permits.py
+++ b/mintsaddle/direct/_permits.py
@@ -6,8 +6,8 @@
 from mintsaddle.decisions.direct import (
     KnownEntry,
     Membership,
-    Permit,
-    RateGrants,
+    PermitDecision,
+    PermitGranter,
 )
 from mintsaddle.direct._gateway import Gateway
 from mintsaddle.observe import fields, make_logger
@@ -44,7 +44,7 @@
         self._gateway = gateway
         self._membership = membership
         self._channels = channels
-        self._grants = RateGrants()
+        self._grants = PermitGranter()
         self._changed: set[str] = set()
         self._has_changed = asyncio.Event()
 
@@ -121,7 +121,7 @@
         except Exception as error:
             self._record_silence(entry, error)
 
-    async def _ask(self, granter: KnownEntry, endpoint: str) -> Permit | None:
+    async def _ask(self, granter: KnownEntry, endpoint: str) -> PermitDecision | None:
         """Return the granter's answer, or None if it doesn't answer."""
         stub = EntryPeersStub(self._channels.open(granter.address))
         wish = pb.PermitWish(rate=self._make_rate(endpoint))
@@ -131,14 +131,14 @@
             self._record_silence(granter, error)
             return None
         self.note([answer.rate])
-        return Permit(answer.granted, self._gateway.now() + answer.wait)
+        return PermitDecision(answer.granted, self._gateway.now() + answer.wait)
 
-    def _grant(self, endpoint: str) -> Permit:
+    def _grant(self, endpoint: str) -> PermitDecision:
         now: Instant = self._gateway.now()
         limit = self._gateway.limits.limit_of(endpoint)
         if limit.rate is None:
-            return Permit(True, now)
-        return self._grants.ask(endpoint, limit.rate, now)
+            return PermitDecision(True, now)
+        return self._grants.request_permit(endpoint, limit.rate, now)
 
     def _granter_of(self, endpoint: str) -> KnownEntry | None:
         """Return the entry that grants for an endpoint; None for this one."""
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -103,7 +103,7 @@
                 return self._failed_answer or found
             if isinstance(found, _Attempt):
                 if found.head.is_stream:
-                    self._call = self._call._replace(began=True)
+                    self._call = self._call._replace(response_started=True)
                     headers = make_answer_headers(found.response)
                     events = self._relay(found)
                     return StreamAnswer(found.head.status, headers, events)
