--- a/mintsaddle/decisions/calls/_attempts.py
+++ b/mintsaddle/decisions/calls/_attempts.py
@@ -68,7 +68,7 @@
 
 def _home_of(state: CallState, facts: RouteFacts, key: OrderKey) -> str | None:
     service = state.request.service
-    if key.origin is KeyOrigin.BROUGHT:
+    if key.origin is KeyOrigin.SUPPLIED:
         return find_home(list_homes(service).homes, key.text)
     named = [name for name in facts.fleet.endpoints if home_tag(name) == key.home_tag]
     for name in named:
--- a/mintsaddle/decisions/orders/tests/test_homes_machine.py
+++ b/mintsaddle/decisions/orders/tests/test_homes_machine.py
@@ -178,7 +178,7 @@
 
     def draw(self) -> None:
         number = len(self.keys)
-        self.keys.append(OrderKey(f"key-{number}", KeyOrigin.BROUGHT, self.now, 0, 0))
+        self.keys.append(OrderKey(f"key-{number}", KeyOrigin.SUPPLIED, self.now, 0, 0))
 
     @rule(order=st.permutations(VMS), ends=st.booleans())
     def bring_new(self, order: list[str], ends: bool) -> None:
@@ -255,7 +255,7 @@
             lists = [TEXTS[7 + place].homes for place in range(len(homes))]
             owners = tuple(find_home(names, text) for names in lists)
             if owners == homes:
-                key = OrderKey(text, KeyOrigin.BROUGHT, self.now, 0, 0)
+                key = OrderKey(text, KeyOrigin.SUPPLIED, self.now, 0, 0)
                 self.keys.append(key)
                 return key
         raise AssertionError("no such key")
--- a/mintsaddle/values/__init__.py
+++ b/mintsaddle/values/__init__.py
@@ -1,4 +1,4 @@
-"""Immutable values that every other package shares."""
+"""Immutable value types that all other packages share."""
 
 from mintsaddle.values._findings import Finding, Findings, render_findings
 from mintsaddle.values._hashing import hash_score, rank_by_score, stable_hash
--- a/mintsaddle/values/_findings.py
+++ b/mintsaddle/values/_findings.py
@@ -1,17 +1,17 @@
-"""Findings: what is wrong with a text, and where, for a person to mend."""
+"""Problems found in a configuration text, with their positions."""
 
 from collections.abc import Iterable
 from typing import NamedTuple, TypeAlias
 
 
 class Finding(NamedTuple):
-    """One thing that is wrong, where it is, and what would be right."""
+    """One problem, its position, and what a correct text would be."""
 
     source: str
-    """Name of the file or published value."""
+    """Name of the file or of the published value."""
 
     line: int
-    """Line counted from 1; 0 when the finding is about the whole text."""
+    """Line number from 1; 0 if the finding concerns the whole text."""
 
     section: str
     """Section of the INI text, or an empty string."""
@@ -20,7 +20,7 @@
     """Key within the section, or an empty string."""
 
     problem: str
-    """What is wrong, and what would be right."""
+    """Description of the problem and of a correct text."""
 
     def __str__(self) -> str:
         where = f"{self.source}:{self.line}" if self.line else self.source
@@ -30,9 +30,9 @@
 
 
 Findings: TypeAlias = tuple[Finding, ...]
-"""Findings in the order of their lines."""
+"""Findings ordered by line."""
 
 
 def render_findings(findings: Iterable[Finding]) -> str:
-    """Return one line of text for each finding."""
+    """Format findings as text, one per line."""
     return "\n".join(str(finding) for finding in findings)
--- a/mintsaddle/values/_hashing.py
+++ b/mintsaddle/values/_hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes, equal in every process and on every machine."""
+"""Stable and rendezvous hashes, the same in all processes on all machines."""
 
 import hashlib
 from collections.abc import Iterable
@@ -18,10 +18,10 @@
 
 
 def rank_by_score(subject: str, candidates: Iterable[str]) -> tuple[str, ...]:
-    """Return the candidates by falling rendezvous score.
+    """Return the candidates in descending order of rendezvous score.
 
-    Removing one candidate moves only the subjects that it held (Thaler and
-    Ravishankar, rendezvous hashing).
+    If a candidate is removed, only the subjects that were assigned to it move
+    (rendezvous hashing, Thaler and Ravishankar).
     """
     scored = ((hash_score(subject, name), name) for name in candidates)
     return tuple(name for _, name in sorted(scored, reverse=True))
--- a/mintsaddle/values/_outcomes.py
+++ b/mintsaddle/values/_outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told of a request, and why a daemon refuses one."""
+"""Outcomes reported to callers, and refusals by endpoint daemons."""
 
 import enum
 from typing import NamedTuple
@@ -7,36 +7,36 @@
 
 
 class Outcome(enum.Enum):
-    """The claim that an answer makes; sent as ``Mintsaddle-Outcome``."""
+    """The outcome stated in an answer; sent as ``Mintsaddle-Outcome``."""
 
     DONE = "done"
-    """The whole answer."""
+    """The request ran, and this is its complete answer."""
 
     NOT_RUN = "not-run"
-    """It did not run and never will under this key."""
+    """The request did not run and never will under this key."""
 
     ASK_AGAIN = "ask-again"
-    """No claim: nothing was decided."""
+    """Nothing was decided, and nothing is stated about the execution."""
 
     IN_DOUBT = "in-doubt"
-    """It may have run."""
+    """The request may have run."""
 
 
 class Claim(enum.Enum):
-    """What a refusing endpoint daemon knows of the request's execution."""
+    """What a refusing endpoint daemon knows about the request's execution."""
 
     NEVER = "never"
-    """This copy did not run, and the endpoint will not run it later."""
+    """This copy of the request did not run, and the endpoint won't run it."""
 
     NONE = "none"
-    """Nothing is claimed; the same key may be tried again."""
+    """Nothing is known; the same key may be tried again."""
 
     MAYBE = "maybe"
     """The request may have run."""
 
 
 class Reason(enum.Enum):
-    """Why a request was refused, for logs, answers and operators."""
+    """Why a request was refused; shown in logs, answers and to operators."""
 
     LEAVING = "leaving"
     MARKED_OUT = "marked-out"
@@ -63,13 +63,12 @@
 
 
 class Refusal(NamedTuple):
-    """An endpoint daemon's word that it does not run a request."""
+    """An endpoint daemon's refusal to run a request."""
 
     claim: Claim
-    """What is known of the execution."""
+    """What is known about the execution."""
 
     reason: Reason
-    """Why."""
 
     retry_at: Instant
-    """When coming back is worth while."""
+    """When a retry may succeed."""
--- a/mintsaddle/values/_stamps.py
+++ b/mintsaddle/values/_stamps.py
@@ -1,43 +1,44 @@
-"""What rides on every message between daemons."""
+"""Metadata that daemons attach to their messages."""
 
 from typing import NamedTuple, TypeAlias
 
 Boot: TypeAlias = int
-"""A random number drawn at start; names one run of one daemon or engine."""
+"""A number drawn at random at start; identifies one run of a daemon or an
+engine."""
 
 
 class Stamp(NamedTuple):
-    """Who speaks, and how new its configuration is."""
+    """The sender of a message and the revision of its configuration."""
 
     vm: str
     """Name of the sending VM."""
 
     boot: Boot
-    """The run of the sending daemon."""
+    """Boot number of the sending daemon."""
 
     text_revision: int
-    """Revision of the fleet text in force; 0 before the first."""
+    """Revision of the fleet text in force; 0 if there is none yet."""
 
     marks_revision: int
-    """Revision of the marks in force; 0 before the first."""
+    """Revision of the marks in force; 0 if there are none yet."""
 
     def is_newer_than(self, other: "Stamp") -> bool:
-        """Return whether this sender knows something newer."""
+        """Return whether this sender has a newer fleet text or newer marks."""
         newer_text = self.text_revision > other.text_revision
         return newer_text or self.marks_revision > other.marks_revision
 
 
 class Load(NamedTuple):
-    """An endpoint daemon's exact load, sent on every answer to an entry."""
+    """An endpoint daemon's exact load, sent with each answer to an entry."""
 
     in_flight: int
-    """Requests given to the engine and not yet over."""
+    """Requests that were passed to the engine and aren't finished."""
 
     limit: int
-    """Requests that the engine may hold now."""
+    """Requests that the engine may have in flight now."""
 
     queued: int
-    """Requests waiting for a place."""
+    """Requests that wait for a free slot."""
 
     leaving: bool
-    """Whether new work is refused."""
+    """Whether the daemon is leaving and refuses new work."""
--- a/mintsaddle/values/_time.py
+++ b/mintsaddle/values/_time.py
@@ -1,4 +1,4 @@
-"""Points in time; only instants are stored, never durations."""
+"""Points in time. State holds instants, never durations."""
 
 from collections.abc import Callable
 from typing import TypeAlias
@@ -7,7 +7,7 @@
 """Seconds since the Unix epoch on the daemon's own clock."""
 
 Clock: TypeAlias = Callable[[], Instant]
-"""Gives the present instant; virtual in tests and benchmarks."""
+"""Returns the present instant; a virtual clock in tests and benchmarks."""
 
 MILLISECONDS = 1000
-"""Milliseconds in a second."""
+"""Milliseconds per second."""
--- a/mintsaddle/values/_trees.py
+++ b/mintsaddle/values/_trees.py
@@ -1,4 +1,4 @@
-"""Relay trees that every process derives alike from a ranking."""
+"""Relay trees, which all processes derive from the same ranking."""
 
 from collections.abc import Sequence
 
@@ -6,19 +6,19 @@
 def relay_parent(
     ranked: Sequence[str], name: str, *, roots: int, fan_out: int
 ) -> str | None:
-    """Return whom a member of a relay tree hears from.
+    """Return the parent of a member in a relay tree.
 
-    A parent always ranks above its children. So members whose rankings differ
-    never form a cycle.
+    A parent always ranks above its children, so that no cycle forms even if
+    members rank each other differently.
 
     Args:
-        ranked: All members, the first ranks highest.
-        name: The member that asks.
-        roots: Members that hear from no other one.
-        fan_out: Children of one member at most.
+        ranked: All members, the highest-ranking first.
+        name: The member whose parent is returned.
+        roots: Number of members without a parent.
+        fan_out: Maximum number of children per member.
 
     Returns:
         The parent's name, or None for a root.
     """
-    place = ranked.index(name)
-    return None if place < roots else ranked[(place - roots) // fan_out]
+    rank = ranked.index(name)
+    return None if rank < roots else ranked[(rank - roots) // fan_out]
--- a/mintsaddle/values/tests/test_keys.py
+++ b/mintsaddle/values/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys: what callers bring and what the system issues."""
+"""Idempotency keys, supplied by callers or issued by the system."""
 
 import random
 import uuid
@@ -16,7 +16,7 @@
     parse_key,
 )
 
-BROUGHT = "01938a3c-8000-7000-8000-000000000001"
+SUPPLIED_KEY = "01938a3c-8000-7000-8000-000000000001"
 
 
 class TestParseKey:
@@ -29,18 +29,18 @@
             ("5b4e0f3e-5f1c-4f7e-9d6c-3a2f1b0c9d8e", "UUID version 4"),
         ],
     )
-    def test_bad_key_is_named(self, text: str, problem: str) -> None:
+    def test_bad_key_is_described(self, text: str, problem: str) -> None:
         result = parse_key(text)
         assert isinstance(result, Failure)
         assert problem in result.failure()
 
-    def test_brought_key_gives_its_date(self) -> None:
-        key = parse_key(BROUGHT).unwrap()
-        assert key.origin is KeyOrigin.BROUGHT
+    def test_supplied_key_gives_its_date(self) -> None:
+        key = parse_key(SUPPLIED_KEY).unwrap()
+        assert key.origin is KeyOrigin.SUPPLIED
         assert key.date == 0x01938A3C8000 / 1000
 
     def test_upper_case_is_the_same_key(self) -> None:
-        assert parse_key(BROUGHT.upper()) == parse_key(BROUGHT)
+        assert parse_key(SUPPLIED_KEY.upper()) == parse_key(SUPPLIED_KEY)
 
 
 class TestIssueKey:
@@ -50,7 +50,7 @@
         st.floats(0, 2**37),
         st.randoms(use_true_random=False),
     )
-    def test_names_its_home_and_run(
+    def test_identifies_its_home_and_run(
         self, vm: str, boot: int, now: float, rng: random.Random
     ) -> None:
         issued = issue_key(vm, boot, now, rng)
