--- a/benchmarks/datacentre_move.py
+++ b/benchmarks/datacentre_move.py
@@ -117,7 +117,7 @@
     """Return the endpoint with the fewest of this entry's own requests."""
     names = _usable(state, fleet, marks, request, now)
     rng.shuffle(names)
-    return min(names, key=lambda name: state.view(name).sent, default=None)
+    return min(names, key=lambda name: state.view(name).own_in_flight, default=None)
 
 
 def _usable(
--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -200,7 +200,7 @@
         counts = make_counts(experts, layers, times)
         for rank in range(counted):
             watch.record_counts(rank, counts)
-        watch.finish_counts(float(times))
+        watch.update_popularity(float(times))
 
     return measure_seconds(poll) * 1e3
 
--- a/benchmarks/expert_maps.py
+++ b/benchmarks/expert_maps.py
@@ -20,7 +20,7 @@
     is_complete,
     make_first_map,
     measure_skew,
-    plan_afresh,
+    plan_from_scratch,
     plan_moves,
     step_load,
 )
@@ -28,7 +28,9 @@
 STEPS = 1000
 """Steps between two plans: 50 s at 50 ms a step."""
 
-COST = PlanCost(horizon=HORIZON_INTERVALS * STEPS, weight=3.0, pause=200.0)
+COST = PlanCost(
+    horizon_steps=HORIZON_INTERVALS * STEPS, move_cost=3.0, switch_cost=200.0
+)
 """A weight of 50 MB through a store of 2 GB/s slows the group by a tenth for
 25 ms, three layer times; a switch holds it for about 0.2 s."""
 
@@ -94,7 +96,7 @@
     version: int, old: ExpertMap, counts: list[list[float]], speeds: list[float]
 ) -> ExpertMap | None:
     """Plan afresh at each interval."""
-    return plan_afresh(version, old, counts, speeds)
+    return plan_from_scratch(version, old, counts, speeds)
 
 
 def threshold(
@@ -103,7 +105,7 @@
     """Plan afresh when the skew is over a threshold, whatever it costs."""
     if measure_skew(old, counts, speeds) < _THRESHOLD:
         return None
-    return plan_afresh(version, old, counts, speeds)
+    return plan_from_scratch(version, old, counts, speeds)
 
 
 def mintsaddle(
@@ -215,7 +217,7 @@
                 moves = count_moved(current, planned)
                 moved += moves
                 switches += 1
-                total += moves * COST.weight + COST.pause
+                total += moves * COST.move_cost + COST.switch_cost
                 current = planned
         skews.append(measure_skew(current, moment.popularity, moment.speeds))
         total += STEPS * step_load(current, moment.popularity, moment.speeds)
@@ -240,7 +242,7 @@
     current = _balanced_start(shape, story)
     total = 0.0
     for moment in story(shape, random.Random(_SEED)):
-        current = plan_afresh(1, current, moment.popularity, moment.speeds)
+        current = plan_from_scratch(1, current, moment.popularity, moment.speeds)
         total += STEPS * step_load(current, moment.popularity, moment.speeds)
     return total
 
@@ -251,7 +253,7 @@
     """Return a map planned on the first interval: all begin well."""
     first = make_first_map(1, shape.ranks, shape.experts, shape.layers, shape.slots)
     moment = next(story(shape, random.Random(_SEED)))
-    return plan_afresh(1, first, moment.popularity, moment.speeds)
+    return plan_from_scratch(1, first, moment.popularity, moment.speeds)
 
 
 def main() -> None:
--- a/benchmarks/lockstep.py
+++ b/benchmarks/lockstep.py
@@ -59,7 +59,7 @@
 ) -> Incarnation:
     """Choose the endpoint with the fewest own requests."""
     del now, rng
-    return min(ranks, key=lambda one: state.view(one.name).sent)
+    return min(ranks, key=lambda one: state.view(one.name).own_in_flight)
 
 
 def choose_of_two(
--- a/fakes/model/_daemons.py
+++ b/fakes/model/_daemons.py
@@ -7,12 +7,12 @@
 from mintsaddle.decisions.configuration import (
     Adoption,
     ConfigurationState,
+    ReadinessGate,
     SourceKind,
-    StartGate,
     adopt_marks,
     adopt_text,
-    choose_first_peers,
     choose_sources,
+    choose_startup_peers,
     is_open,
     make_stamp,
     must_wait_for_text,
@@ -61,7 +61,7 @@
         self.peers: dict[str, Daemon] = {}
         self.boot = 0
         self.configuration = ConfigurationState()
-        self.gate = StartGate(frozenset())
+        self.gate = ReadinessGate(frozenset())
         self.adopted: list[tuple[int, int]] = []
         self.served: list[tuple[int, int]] = []
         self._resting: dict[str, float] = {}
@@ -71,7 +71,7 @@
         super().start()
         self.boot = self.world.rng.getrandbits(BOOT_BITS)
         self.configuration = ConfigurationState()
-        self.gate = StartGate(frozenset(), give_up_at=self.now() + _GATE_TIMEOUT)
+        self.gate = ReadinessGate(frozenset(), give_up_at=self.now() + _GATE_TIMEOUT)
         self._resting = {}
         self.later(self.world.rng.random() * _POLL, self._poll)
 
@@ -110,8 +110,8 @@
             if not done:
                 done.append(answered)
                 if answered:
-                    heard = self.gate.heard | {vm}
-                    self.gate = self.gate._replace(heard=heard)
+                    heard = self.gate.answered | {vm}
+                    self.gate = self.gate._replace(answered=heard)
                 then(answered)
 
         def reply() -> None:
@@ -148,7 +148,7 @@
         fleet = self.configuration.fleet
         if fleet is None or self.gate.asked:
             return
-        peers = choose_first_peers(fleet, self.name, self.data_centre)
+        peers = choose_startup_peers(fleet, self.name, self.data_centre)
         self.gate = self.gate._replace(asked=frozenset(peers))
         for vm in peers:
             self.fetch(vm, self._make_judge(vm))
@@ -156,8 +156,8 @@
     def _make_judge(self, vm: str) -> Callable[[bool], None]:
         def judge(answered: bool) -> None:
             if not answered:
-                silent = self.gate.silent | {vm}
-                self.gate = self.gate._replace(silent=silent)
+                silent = self.gate.unreachable | {vm}
+                self.gate = self.gate._replace(unreachable=silent)
 
         return judge
 
@@ -192,7 +192,7 @@
         platform = self.platform
         if not platform.alive or self.data_centre in self.world.cut_from_platform:
             return
-        self.gate = self.gate._replace(platform_heard=True)
+        self.gate = self.gate._replace(platform_answered=True)
         if platform.text[0]:
             self.offer_text(*platform.text)
         if platform.marks[0]:
--- a/fakes/model/_entry.py
+++ b/fakes/model/_entry.py
@@ -25,9 +25,9 @@
 from mintsaddle.decisions.routing import (
     RouteRequest,
     RoutingState,
+    clear_backoff,
     draw_key,
     record_load,
-    welcome_back,
 )
 from mintsaddle.values import Load, OrderKey, Stamp
 
@@ -68,7 +68,7 @@
         if fleet is not None:
             marks = self.configuration.marks
             back = [name for name in fleet.endpoints if not marks.is_out(fleet, name)]
-            welcome_back(self.routing, back)
+            clear_backoff(self.routing, back)
 
     def issue(self, service: str) -> OrderKey | None:
         """Issue a key for a home that answers now."""
--- a/mintsaddle/daemon/_node.py
+++ b/mintsaddle/daemon/_node.py
@@ -13,10 +13,10 @@
 from mintsaddle.decisions.configuration import (
     Adoption,
     ConfigurationState,
-    StartGate,
+    ReadinessGate,
     adopt_marks,
     adopt_text,
-    choose_first_peers,
+    choose_startup_peers,
     is_open,
     make_stamp,
     must_wait_for_text,
@@ -67,7 +67,9 @@
         self._channels = ChannelPool()
         self._helpers = ThreadPoolExecutor(_HELPERS, "helper")
         self._book = HistogramBook()
-        self._gate = StartGate(frozenset(), give_up_at=self._boot_at + _GATE_TIMEOUT)
+        self._gate = ReadinessGate(
+            frozenset(), give_up_at=self._boot_at + _GATE_TIMEOUT
+        )
         self._changed = asyncio.Event()
         self._followers: list[Callable[[], None]] = []
         self._pulls: dict[str, asyncio.Task[bool]] = {}
@@ -122,7 +124,7 @@
         return self._book
 
     @property
-    def gate(self) -> StartGate:
+    def gate(self) -> ReadinessGate:
         """What this daemon has asked and heard since its start."""
         return self._gate
 
@@ -182,7 +184,7 @@
 
     def record_platform(self) -> None:
         """Note that the platform has answered."""
-        self._gate = self._gate._replace(platform_heard=True)
+        self._gate = self._gate._replace(platform_answered=True)
 
     def ask_first_peers(self) -> None:
         """Choose whom to ask before serving, once a text is known."""
@@ -190,7 +192,7 @@
         if fleet is None or self._gate.asked:
             return
         settings = self._settings
-        peers = choose_first_peers(fleet, settings.vm, settings.data_centre)
+        peers = choose_startup_peers(fleet, settings.vm, settings.data_centre)
         self._gate = self._gate._replace(asked=frozenset(peers))
         for peer in peers:
             address = fleet.address_of(peer)
@@ -246,8 +248,8 @@
             if marks is not None:
                 self.offer_marks(sender.marks_revision, marks)
         # Heard only now: the gate would open before its word is in force.
-        heard = self._gate.heard | {sender.vm}
-        self._gate = self._gate._replace(heard=heard)
+        heard = self._gate.answered | {sender.vm}
+        self._gate = self._gate._replace(answered=heard)
         return True
 
     async def offer_text(self, revision: int, text: str) -> None:
@@ -292,7 +294,9 @@
     async def _pull(self, address: str, peer: str) -> bool:
         answered = await self.fetch(address, 0.0)
         if not answered and peer:
-            self._gate = self._gate._replace(silent=self._gate.silent | {peer})
+            self._gate = self._gate._replace(
+                unreachable=self._gate.unreachable | {peer}
+            )
         return answered
 
     def _tell_change(self) -> None:
--- a/mintsaddle/decisions/configuration/__init__.py
+++ b/mintsaddle/decisions/configuration/__init__.py
@@ -1,20 +1,20 @@
-"""Which fleet text and marks are in force, and how news of them travels."""
+"""Adopts published fleet texts and marks and relays them between daemons."""
 
 from mintsaddle.decisions.configuration._commands import (
     Adoption,
     adopt_marks,
     adopt_text,
 )
-from mintsaddle.decisions.configuration._gate import StartGate, is_open
+from mintsaddle.decisions.configuration._gate import ReadinessGate, is_open
 from mintsaddle.decisions.configuration._queries import (
-    choose_first_peers,
+    choose_startup_peers,
     is_out,
     make_stamp,
     must_wait_for_text,
 )
 from mintsaddle.decisions.configuration._relays import (
     FAN_OUT,
-    READERS,
+    READERS_PER_DATA_CENTRE,
     Source,
     SourceKind,
     choose_sources,
@@ -23,16 +23,16 @@
 
 __all__ = [
     "FAN_OUT",
-    "READERS",
+    "READERS_PER_DATA_CENTRE",
     "Adoption",
     "ConfigurationState",
     "RefusedText",
     "Source",
     "SourceKind",
-    "StartGate",
+    "ReadinessGate",
     "adopt_marks",
     "adopt_text",
-    "choose_first_peers",
+    "choose_startup_peers",
     "choose_sources",
     "is_open",
     "is_out",
--- a/mintsaddle/decisions/configuration/_commands.py
+++ b/mintsaddle/decisions/configuration/_commands.py
@@ -1,4 +1,4 @@
-"""Adopting a newer fleet text or newer marks."""
+"""Adoption of newer fleet texts and marks."""
 
 import enum
 from collections.abc import Callable
@@ -11,14 +11,15 @@
 from mintsaddle.values import Findings
 
 CheckText: TypeAlias = Callable[[str, str], Result[Fleet, Findings]]
-"""Checks a text; a daemon does that aside, since a large one takes a while."""
+"""Parses and validates a text, given its source name. A daemon does this in a
+worker thread, since large texts take long."""
 
 TEXT_SOURCE = "fleet"
 MARKS_SOURCE = "marks"
 
 
 class Adoption(enum.Enum):
-    """What became of a published value."""
+    """Result of offering a published value."""
 
     ADOPTED = "adopted"
     NOT_NEWER = "not-newer"
@@ -31,11 +32,11 @@
     text: str,
     check: CheckText = read_fleet,
 ) -> Adoption:
-    """Put a text in force if it is newer and has no findings.
+    """Make a text active if it is newer and has no findings.
 
-    Guards against a stale platform replica or a late relay, which would show
-    as a fleet falling back to an older text: a revision that isn't higher is
-    never looked at.
+    A revision that is not higher is ignored without being checked, so a stale
+    platform replica or a delayed relay can't revert the fleet to an older
+    text.
     """
     if revision <= state.text_revision:
         return Adoption.NOT_NEWER
@@ -52,7 +53,7 @@
 
 
 def adopt_marks(state: ConfigurationState, revision: int, text: str) -> Adoption:
-    """Put marks in force if they are newer and have no findings."""
+    """Make marks active if they are newer and have no findings."""
     if revision <= state.marks_revision:
         return Adoption.NOT_NEWER
     refused = state.refused_marks
--- a/mintsaddle/decisions/configuration/_gate.py
+++ b/mintsaddle/decisions/configuration/_gate.py
@@ -1,4 +1,4 @@
-"""The gate that a new daemon passes before it serves."""
+"""Readiness check of a new daemon."""
 
 from typing import NamedTuple
 
@@ -6,38 +6,39 @@
 from mintsaddle.values import Instant
 
 
-class StartGate(NamedTuple):
-    """What a new daemon has asked and heard.
+class ReadinessGate(NamedTuple):
+    """Configuration queries of a new daemon and their results.
 
-    Guards against a stale platform replica that brings an old text back: a
-    daemon that served on it alone would take work that the newer text gives
-    to others. Peers hold the newer text, so they are heard first.
+    A stale platform replica may return an old text. A daemon that relied on
+    it alone would accept work that the newer text assigns to others, so the
+    peers, which hold the newer text, are queried before serving.
     """
 
     asked: frozenset[str]
     """Peers that were asked for their configuration."""
 
-    heard: frozenset[str] = frozenset()
+    answered: frozenset[str] = frozenset()
     """Peers that have answered."""
 
-    silent: frozenset[str] = frozenset()
-    """Peers that were found to be unreachable."""
+    unreachable: frozenset[str] = frozenset()
+    """Peers that could not be reached."""
 
-    platform_heard: bool = False
+    platform_answered: bool = False
     """Whether the platform has answered since the start."""
 
     give_up_at: Instant = 0.0
-    """When peers that have said nothing count as silent."""
+    """Time from which peers that have not answered count as unreachable."""
 
 
-def is_open(gate: StartGate, state: ConfigurationState, now: Instant) -> bool:
+def is_open(gate: ReadinessGate, state: ConfigurationState, now: Instant) -> bool:
     """Return whether a new daemon may serve.
 
-    With neither the platform nor a peer it doesn't; with one of them it does.
+    It needs an active text and an answer from the platform or a peer. Until
+    the timeout, every queried peer must have answered or be unreachable.
     """
     if state.fleet is None:
         return False
-    if not gate.heard and not gate.platform_heard:
+    if not gate.answered and not gate.platform_answered:
         return False
-    missing = gate.asked - gate.heard - gate.silent
+    missing = gate.asked - gate.answered - gate.unreachable
     return not missing or now >= gate.give_up_at
--- a/mintsaddle/decisions/configuration/_relays.py
+++ b/mintsaddle/decisions/configuration/_relays.py
@@ -1,9 +1,10 @@
-"""From whom a daemon hears of a new configuration.
+"""Relay tree that distributes new configurations to daemons.
 
 In each data centre the VMs are ranked by rendezvous score. The first few read
-the platform; each other one has a parent above it, as in a heap. So platform
-calls grow with data centres and a daemon serves a bounded number of others,
-with no election: two readers too many only cost reads.
+from the platform; every other VM has a parent of higher rank, as in a heap.
+The number of platform calls thus grows only with the number of data centres,
+and a daemon serves a bounded number of others. No election is needed: if VMs
+disagree on the readers, a few extra reads are the only cost.
 """
 
 import enum
@@ -13,22 +14,22 @@
 from mintsaddle.fleet import Fleet
 from mintsaddle.values import rank_by_score, relay_parent
 
-READERS = 3
-"""VMs of a data centre that read the platform themselves."""
+READERS_PER_DATA_CENTRE = 3
+"""VMs in each data centre that read directly from the platform."""
 
 FAN_OUT = 6
-"""VMs that hear from one parent."""
+"""Maximum VMs that one parent serves."""
 
 
 class SourceKind(enum.Enum):
-    """Where to ask next."""
+    """Kind of configuration source."""
 
     PLATFORM = "platform"
     PEER = "peer"
 
 
 class Source(NamedTuple):
-    """One place to ask for a newer configuration."""
+    """A source of newer configurations."""
 
     kind: SourceKind
     vm: str = ""
@@ -36,41 +37,41 @@
 
 
 PLATFORM = Source(SourceKind.PLATFORM)
-"""The platform's own service."""
+"""The configuration service of the platform."""
 
 
 def choose_sources(
-    fleet: Fleet | None, vm: str, data_centre: str, absent: Iterable[str] = ()
+    fleet: Fleet | None, vm: str, data_centre: str, unreachable: Iterable[str] = ()
 ) -> tuple[Source, ...]:
-    """Return where a daemon asks, best first.
+    """Return the sources that a daemon queries, in order of preference.
 
     Args:
-        fleet: The text in force, or None before the first.
-        vm: The asking VM.
+        fleet: The active fleet, or None before the first text.
+        vm: Name of the querying VM.
         data_centre: Its data centre.
-        absent: VMs that were found to be unreachable a moment ago.
+        unreachable: VMs that recently could not be reached.
 
     Returns:
-        For a reader the platform and one reader of another data centre, which
-        still hears when this data centre is cut off from the platform. For
-        any other VM its parent, then readers, then the platform.
+        For a reader, the platform and one VM of another data centre, which
+        may still receive updates if this data centre is cut off from the
+        platform. For any other VM its parent, then readers, then the platform.
     """
     if fleet is None:
         return (PLATFORM,)
-    away = frozenset(absent) - {vm}
-    names = [name for name in fleet.vm_names() if name not in away]
-    near = [name for name in names if fleet.data_centre_of(name) == data_centre]
-    if vm not in near:
-        near.append(vm)
-    ranked = rank_by_score(f"relay {data_centre}", near)
-    parent = relay_parent(ranked, vm, roots=READERS, fan_out=FAN_OUT)
+    excluded = frozenset(unreachable) - {vm}
+    names = [name for name in fleet.vm_names() if name not in excluded]
+    local = [name for name in names if fleet.data_centre_of(name) == data_centre]
+    if vm not in local:
+        local.append(vm)
+    ranked = rank_by_score(f"relay {data_centre}", local)
+    parent = relay_parent(ranked, vm, roots=READERS_PER_DATA_CENTRE, fan_out=FAN_OUT)
     if parent is None:
-        far = [name for name in names if fleet.data_centre_of(name) != data_centre]
-        return (PLATFORM, *_first_peer(rank_by_score(f"relay {vm}", far)))
-    readers = [name for name in ranked[:READERS] if name != parent]
+        remote = [name for name in names if fleet.data_centre_of(name) != data_centre]
+        return (PLATFORM, *_first_as_source(rank_by_score(f"relay {vm}", remote)))
+    readers = [name for name in ranked[:READERS_PER_DATA_CENTRE] if name != parent]
     peers = [Source(SourceKind.PEER, name) for name in (parent, *readers)]
     return (*peers, PLATFORM)
 
 
-def _first_peer(names: tuple[str, ...]) -> tuple[Source, ...]:
+def _first_as_source(names: tuple[str, ...]) -> tuple[Source, ...]:
     return tuple(Source(SourceKind.PEER, name) for name in names[:1])
--- a/mintsaddle/decisions/configuration/_state.py
+++ b/mintsaddle/decisions/configuration/_state.py
@@ -1,4 +1,4 @@
-"""What a daemon holds of the published configuration."""
+"""Configuration state of a daemon."""
 
 from typing import NamedTuple
 
@@ -7,17 +7,17 @@
 
 
 class RefusedText(NamedTuple):
-    """A published value that had findings and so was never put in force."""
+    """A published value that was refused because of its findings."""
 
     revision: int
     findings: Findings
 
 
 class ConfigurationState:
-    """The fleet text and marks in force in one daemon.
+    """Active fleet text and marks of one daemon.
 
-    Both revisions only rise. A value with findings is refused whole, and the
-    last accepted one stays.
+    Both revisions only increase. A value with findings is refused as a whole,
+    and the last accepted one stays active.
     """
 
     def __init__(self) -> None:
@@ -32,12 +32,12 @@
 
     @property
     def text_revision(self) -> int:
-        """Revision of the text in force; 0 before the first."""
+        """Revision of the active text; 0 before the first."""
         return self._text_revision
 
     @property
     def text(self) -> str:
-        """The text in force, to be passed on to other daemons."""
+        """The active text as published, for relaying to other daemons."""
         return self._text
 
     @property
@@ -47,45 +47,45 @@
 
     @property
     def marks_revision(self) -> int:
-        """Revision of the marks in force; 0 before the first."""
+        """Revision of the active marks; 0 before the first."""
         return self._marks_revision
 
     @property
     def marks_text(self) -> str:
-        """The marks in force as published."""
+        """The active marks as published, for relaying to other daemons."""
         return self._marks_text
 
     @property
     def marks(self) -> Marks:
-        """The marks in force."""
+        """The active marks."""
         return self._marks
 
     @property
     def refused_text(self) -> RefusedText | None:
-        """The newest fleet text that was refused, for operators."""
+        """The last refused fleet text, for operators."""
         return self._refused_text
 
     @property
     def refused_marks(self) -> RefusedText | None:
-        """The newest marks that were refused, for operators."""
+        """The last refused marks, for operators."""
         return self._refused_marks
 
     def set_text(self, revision: int, text: str, fleet: Fleet) -> None:
-        """Put a checked text in force; `adopt_text` is its only caller."""
+        """Make a checked text active; called only by `adopt_text`."""
         self._text_revision = revision
         self._text = text
         self._fleet = fleet
 
     def set_marks(self, revision: int, text: str, marks: Marks) -> None:
-        """Put checked marks in force; `adopt_marks` is its only caller."""
+        """Make checked marks active; called only by `adopt_marks`."""
         self._marks_revision = revision
         self._marks_text = text
         self._marks = marks
 
     def refuse_text(self, refused: RefusedText) -> None:
-        """Remember a refused text."""
+        """Store a refused text."""
         self._refused_text = refused
 
     def refuse_marks(self, refused: RefusedText) -> None:
-        """Remember refused marks."""
+        """Store refused marks."""
         self._refused_marks = refused
--- a/mintsaddle/decisions/configuration/tests/test_configuration.py
+++ b/mintsaddle/decisions/configuration/tests/test_configuration.py
@@ -1,14 +1,14 @@
-"""Configuration: only newer, only checked, by relays, behind a start gate."""
+"""Tests for adoption, relay sources and readiness of configurations."""
 
 import pytest
 
 from mintsaddle.decisions.configuration import (
     FAN_OUT,
-    READERS,
+    READERS_PER_DATA_CENTRE,
     Adoption,
     ConfigurationState,
+    ReadinessGate,
     SourceKind,
-    StartGate,
     adopt_marks,
     adopt_text,
     choose_sources,
@@ -78,7 +78,7 @@
                 for vm in fleet.vm_names()
             ]
             readers = [item for item in firsts if item.kind is SourceKind.PLATFORM]
-            assert len(readers) == 2 * READERS, each
+            assert len(readers) == 2 * READERS_PER_DATA_CENTRE, each
             followed = [item.vm for item in firsts if item.vm]
             most = max(followed.count(vm) for vm in set(followed))
             assert most <= FAN_OUT, each
@@ -95,30 +95,32 @@
     @pytest.mark.parametrize(
         ("gate", "has_text", "opens"),
         [
-            (StartGate(frozenset("ab"), give_up_at=NOW + 1), True, False),
+            (ReadinessGate(frozenset("ab"), give_up_at=NOW + 1), True, False),
             (
-                StartGate(frozenset("ab"), platform_heard=True, give_up_at=NOW + 1),
+                ReadinessGate(
+                    frozenset("ab"), platform_answered=True, give_up_at=NOW + 1
+                ),
                 True,
                 False,
             ),
             (
-                StartGate(
+                ReadinessGate(
                     frozenset("ab"), frozenset("a"), frozenset("b"), give_up_at=NOW + 1
                 ),
                 True,
                 True,
             ),
             (
-                StartGate(frozenset("ab"), platform_heard=True, give_up_at=NOW),
+                ReadinessGate(frozenset("ab"), platform_answered=True, give_up_at=NOW),
                 True,
                 True,
             ),
-            (StartGate(frozenset("ab"), give_up_at=NOW), True, False),
-            (StartGate(frozenset(), platform_heard=True), False, False),
+            (ReadinessGate(frozenset("ab"), give_up_at=NOW), True, False),
+            (ReadinessGate(frozenset(), platform_answered=True), False, False),
         ],
     )
     def test_serves_only_when_heard(
-        self, gate: StartGate, has_text: bool, opens: bool
+        self, gate: ReadinessGate, has_text: bool, opens: bool
     ) -> None:
         state = ConfigurationState()
         if has_text:
--- a/mintsaddle/decisions/expert_maps/__init__.py
+++ b/mintsaddle/decisions/expert_maps/__init__.py
@@ -36,7 +36,7 @@
 from mintsaddle.decisions.expert_maps._planner import (
     HORIZON_INTERVALS,
     PlanCost,
-    plan_afresh,
+    plan_from_scratch,
     plan_moves,
 )
 from mintsaddle.decisions.expert_maps._popularity import PopularityCounts
@@ -48,7 +48,7 @@
 from mintsaddle.decisions.expert_maps._spread import (
     SpreadLimits,
     choose_limits,
-    slowest_share,
+    mean_skew,
     spread_experts,
 )
 from mintsaddle.decisions.expert_maps._stall import StallWatch, watchdog_timeout
@@ -63,7 +63,7 @@
     record_reply,
     start_switch,
 )
-from mintsaddle.decisions.expert_maps._watch import MapWatch, choose_samples
+from mintsaddle.decisions.expert_maps._watch import MapWatch, choose_sampled_ranks
 
 __all__ = [
     "ArmedSwitch",
@@ -92,7 +92,7 @@
     "Verdict",
     "begin_switch",
     "choose_limits",
-    "choose_samples",
+    "choose_sampled_ranks",
     "choose_step",
     "count_moved",
     "draw_version",
@@ -108,11 +108,11 @@
     "record_answers",
     "record_reply",
     "record_reports",
-    "plan_afresh",
+    "plan_from_scratch",
     "plan_moves",
     "ranks_to_read",
     "withdraw_held",
-    "slowest_share",
+    "mean_skew",
     "spread_experts",
     "start_switch",
     "step_load",
--- a/mintsaddle/decisions/expert_maps/_draft.py
+++ b/mintsaddle/decisions/expert_maps/_draft.py
@@ -1,4 +1,4 @@
-"""One layer of a map while the planner works on it."""
+"""Mutable copy of one map layer, used by the planner."""
 
 import heapq
 from collections import Counter
@@ -8,14 +8,14 @@
 from mintsaddle.decisions.expert_maps._maps import LayerSlots
 
 Change: TypeAlias = tuple[int, int, int]
-"""Rank, slot and the expert that it gets."""
+"""Rank, slot and the expert assigned to that slot."""
 
 
 class LayerDraft:
-    """A layer with its loads kept up to date move by move.
+    """A layer whose rank loads are updated incrementally on each move.
 
     Recomputing all loads after each move would take most of the planning
-    time; a move touches only the ranks that hold its experts.
+    time; a move affects only the ranks that hold its experts.
     """
 
     def __init__(
@@ -54,18 +54,18 @@
 
     @property
     def loads(self) -> Sequence[float]:
-        """Time of each rank."""
+        """Time of each rank, in tokens at speed 1."""
         return self._loads
 
-    def piece(self, expert: int) -> float:
-        """Return the tokens of one copy of an expert."""
+    def tokens_per_copy(self, expert: int) -> float:
+        """Return the tokens routed to each copy of an expert."""
         return self._tokens[expert] / self._copies[expert]
 
     def holders(self, expert: int) -> Sequence[int]:
         """Return the ranks that hold an expert, once for each copy."""
         return self._holders[expert]
 
-    def slowest(self) -> float:
+    def max_load(self) -> float:
         """Return the time of the slowest rank, which all others wait for."""
         return max(self._loads)
 
@@ -73,17 +73,17 @@
         """Return the slowest rank."""
         return max(range(len(self._loads)), key=self._loads.__getitem__)
 
-    def fastest_ranks(self, count: int) -> list[int]:
-        """Return the least loaded ranks."""
+    def least_loaded_ranks(self, count: int) -> list[int]:
+        """Return up to `count` ranks in ascending order of load."""
         ranks = range(len(self._loads))
         return heapq.nsmallest(count, ranks, key=self._loads.__getitem__)
 
     def slots(self) -> LayerSlots:
-        """Return the layer as it stands."""
+        """Return the current assignment as an immutable layer."""
         return tuple(tuple(experts) for experts in self._held)
 
     def apply(self, changes: tuple[Change, ...]) -> None:
-        """Make a move."""
+        """Apply the changes of one move and update the affected loads."""
         touched: set[int] = set()
         for rank, slot, expert in changes:
             old = self._held[rank][slot]
@@ -98,5 +98,5 @@
             self._loads[rank] = self._compute_load(rank)
 
     def _compute_load(self, rank: int) -> float:
-        tokens = sum(self.piece(expert) for expert in self._held[rank])
+        tokens = sum(self.tokens_per_copy(expert) for expert in self._held[rank])
         return tokens / self._speeds[rank]
--- a/mintsaddle/decisions/expert_maps/_maps.py
+++ b/mintsaddle/decisions/expert_maps/_maps.py
@@ -1,8 +1,8 @@
-"""Expert maps and what a step costs under them.
+"""Expert maps and the step time that results from them.
 
 In each layer every rank has the same number of slots, and each slot holds one
-expert. An expert with several slots shares its tokens evenly among them. All
-ranks wait for the slowest one in each layer.
+expert. The tokens of an expert are split evenly among its slots. All ranks
+wait for the slowest one in each layer.
 """
 
 from collections import Counter
@@ -10,32 +10,32 @@
 from typing import NamedTuple, TypeAlias
 
 Popularity: TypeAlias = Sequence[Sequence[float]]
-"""Tokens of each expert, by layer; shape (layers, experts)."""
+"""Tokens routed to each expert, by layer; shape (layers, experts)."""
 
 LayerSlots: TypeAlias = tuple[tuple[int, ...], ...]
 """Experts of one layer, by rank; shape (ranks, slots)."""
 
 
 FIRST_VERSION = 0
-"""Version of the map that a group forms with: experts in turn."""
+"""Version of the initial map of a group, with experts assigned round-robin."""
 
 
 class ExpertMap(NamedTuple):
-    """One version of a group's map."""
+    """One version of the expert map of a group."""
 
     version: int
     layers: tuple[LayerSlots, ...]
     """Experts by layer, rank and slot; shape (layers, ranks, slots)."""
 
-    def slots_of(self, rank: int) -> tuple[int, ...]:
-        """Return a rank's experts, layer by layer, for the engine."""
+    def experts_of_rank(self, rank: int) -> tuple[int, ...]:
+        """Return a rank's experts, layer by layer, as the engine expects."""
         return tuple(expert for layer in self.layers for expert in layer[rank])
 
 
 def make_first_map(
     version: int, ranks: int, experts: int, layers: int, slots: int
 ) -> ExpertMap:
-    """Return a map that deals the experts out in turns."""
+    """Return a map that assigns the experts round-robin."""
     layer = tuple(
         tuple((rank + slot * ranks) % experts for slot in range(slots))
         for rank in range(ranks)
@@ -64,7 +64,7 @@
 def rank_loads(
     layer: LayerSlots, popularity: Sequence[float], speeds: Sequence[float]
 ) -> list[float]:
-    """Return each rank's time in one layer, in tokens of a normal rank."""
+    """Return each rank's time in one layer, in tokens at speed 1."""
     copies = Counter(expert for slots in layer for expert in slots)
     return [
         sum(popularity[expert] / copies[expert] for expert in slots) / speed
@@ -75,7 +75,7 @@
 def step_load(
     expert_map: ExpertMap, popularity: Popularity, speeds: Sequence[float]
 ) -> float:
-    """Return the time of a step: the slowest rank's, summed over layers."""
+    """Return the time of a step: the sum over layers of the slowest rank's."""
     return sum(
         max(rank_loads(layer, tokens, speeds))
         for layer, tokens in zip(expert_map.layers, popularity, strict=True)
@@ -85,7 +85,7 @@
 def measure_skew(
     expert_map: ExpertMap, popularity: Popularity, speeds: Sequence[float]
 ) -> float:
-    """Return the step-time skew: the slowest rank over the mean."""
+    """Return the step time divided by that of a perfectly balanced map."""
     total = sum(speeds)
     mean = sum(sum(tokens) / total for tokens in popularity)
     if mean == 0.0:
--- a/mintsaddle/decisions/expert_maps/_planner.py
+++ b/mintsaddle/decisions/expert_maps/_planner.py
@@ -1,4 +1,4 @@
-"""Planning a map: afresh, or by the few moves that are worth their cost."""
+"""Plans expert maps from scratch or by incremental moves."""
 
 import heapq
 from collections import Counter
@@ -8,27 +8,28 @@
 from mintsaddle.decisions.expert_maps._draft import Change, LayerDraft
 from mintsaddle.decisions.expert_maps._maps import ExpertMap, LayerSlots, Popularity
 
-COLD_RANKS = 12
-"""Least loaded ranks that are looked at; bounds the planning time."""
+MAX_TARGET_RANKS = 12
+"""Least loaded ranks considered as move targets; bounds the planning time."""
 
 HORIZON_INTERVALS = 1.4
-"""Intervals between plans over which a gain counts; it outlasts the next."""
+"""Planning intervals over which a gain is credited. Above 1, because a map
+stays in use past the next plan."""
 
-_MOST_MOVES = 48
-_LEAST_GAIN = 1e-9
+_MAX_MOVES = 48
+_MIN_GAIN = 1e-9
 
 
 class PlanCost(NamedTuple):
-    """What a change costs, in the unit of a step's time."""
+    """Cost of changing a map, in the same unit as the time of a step."""
 
-    horizon: float
-    """Steps over which a gain counts."""
+    horizon_steps: float
+    """Steps over which a gain is credited."""
 
-    weight: float
-    """Cost of moving one expert's weights through the store."""
+    move_cost: float
+    """Cost of transferring the weights of one expert through the store."""
 
-    pause: float
-    """Cost of holding the group for one switch."""
+    switch_cost: float
+    """Cost of pausing the group for one map switch."""
 
 
 class _Move(NamedTuple):
@@ -36,16 +37,17 @@
     changes: tuple[Change, ...]
 
 
-def plan_afresh(
+def plan_from_scratch(
     version: int,
     old: ExpertMap,
     popularity: Popularity,
     speeds: Sequence[float],
 ) -> ExpertMap:
-    """Return a map planned with no regard to the old one.
+    """Return a map planned independently of the placement in the old one.
 
-    Spare slots go to the experts with most tokens for each copy; then the
-    copies are dealt to the least loaded rank, largest first.
+    Each spare slot goes to the expert with the most tokens per copy. The
+    copies are then assigned in descending order of load, each to the least
+    loaded rank.
     """
     layers = tuple(
         _pack_layer(len(layer), len(layer[0]), tokens, speeds)
@@ -61,20 +63,21 @@
     speeds: Sequence[float],
     cost: PlanCost,
 ) -> ExpertMap | None:
-    """Return a map with the moves that are worth it, or None if none is.
+    """Return a map improved by moves that pay off, or None if none do.
 
-    Each move relieves the slowest rank of one layer, by a swap or by another
-    copy of its expert in place of a spare one. A move is taken while its gain
-    over the horizon beats the weights that it moves; the whole has to beat
-    the pause as well.
+    Each move takes load off the slowest rank of one layer, either by swapping
+    experts or by replacing a redundant copy with a copy of one of the rank's
+    experts. Moves of a layer are kept if their gain over the horizon exceeds
+    the cost of transferring the weights. The total over all layers must also
+    exceed the cost of the switch.
     """
-    worth = 0.0
+    net_gain = 0.0
     layers = []
     for layer, tokens in zip(old.layers, popularity, strict=True):
-        planned, gained = _improve_layer(layer, tokens, speeds, cost)
+        planned, layer_gain = _improve_layer(layer, tokens, speeds, cost)
         layers.append(planned)
-        worth += gained
-    if worth <= cost.pause:
+        net_gain += layer_gain
+    if net_gain <= cost.switch_cost:
         return None
     return ExpertMap(version, tuple(layers))
 
@@ -83,13 +86,13 @@
     ranks: int, slots: int, tokens: Sequence[float], speeds: Sequence[float]
 ) -> LayerSlots:
     copies = _count_copies(ranks * slots, tokens)
-    pieces = sorted(
+    copy_loads = sorted(
         ((tokens[expert] / copies[expert], expert) for expert in copies.elements()),
         reverse=True,
     )
     heap = [(0.0, rank) for rank in range(ranks)]
     held: list[list[int]] = [[] for _ in range(ranks)]
-    for load, expert in pieces:
+    for load, expert in copy_loads:
         total, rank = heapq.heappop(heap)
         held[rank].append(expert)
         if len(held[rank]) < slots:
@@ -97,11 +100,11 @@
     return tuple(tuple(experts) for experts in held)
 
 
-def _count_copies(places: int, tokens: Sequence[float]) -> Counter[int]:
+def _count_copies(slot_count: int, tokens: Sequence[float]) -> Counter[int]:
     copies = Counter(range(len(tokens)))
     heap = [(-load, expert) for expert, load in enumerate(tokens)]
     heapq.heapify(heap)
-    for _ in range(places - len(tokens)):
+    for _ in range(slot_count - len(tokens)):
         _, expert = heapq.heappop(heap)
         copies[expert] += 1
         heapq.heappush(heap, (-tokens[expert] / copies[expert], expert))
@@ -114,70 +117,70 @@
     speeds: Sequence[float],
     cost: PlanCost,
 ) -> tuple[LayerSlots, float]:
-    """Return an improved layer, and what it is worth beyond its moves.
+    """Return an improved layer and its gain net of transfer costs.
 
-    The slowest rank is relieved again and again. One move alone may gain
-    nothing, when the next rank is as slow; so the moves are judged together
-    and the best beginning of their sequence is kept.
+    Load is taken off the slowest rank repeatedly. A single move gains nothing
+    when another rank is equally slow, so moves are evaluated cumulatively and
+    the best prefix of the sequence is kept.
     """
     draft = LayerDraft(layer, tokens, speeds)
-    before = draft.slowest()
-    best, best_worth = layer, 0.0
+    before = draft.max_load()
+    best, best_net_gain = layer, 0.0
     weights = 0
-    for _ in range(_MOST_MOVES):
+    for _ in range(_MAX_MOVES):
         move = _find_move(draft)
         if move is None:
             break
         draft.apply(move.changes)
         weights += len(move.changes)
-        gain = before - draft.slowest()
-        worth = gain * cost.horizon - weights * cost.weight
-        if worth > best_worth:
-            best, best_worth = draft.slots(), worth
-    return best, best_worth
+        gain = before - draft.max_load()
+        net_gain = gain * cost.horizon_steps - weights * cost.move_cost
+        if net_gain > best_net_gain:
+            best, best_net_gain = draft.slots(), net_gain
+    return best, best_net_gain
 
 
 def _find_move(draft: LayerDraft) -> _Move | None:
-    """Return the move that relieves the slowest rank most for each weight."""
+    """Return the move with the largest gain per transferred expert."""
     hot = draft.slowest_rank()
     best: _Move | None = None
-    for cold in draft.fastest_ranks(COLD_RANKS):
+    for cold in draft.least_loaded_ranks(MAX_TARGET_RANKS):
         if cold == hot:
             continue
         for move in (*_find_swaps(draft, hot, cold), *_find_copies(draft, hot, cold)):
-            if best is None or _rate(move) > _rate(best):
+            if best is None or _gain_per_weight(move) > _gain_per_weight(best):
                 best = move
     return best
 
 
-def _rate(move: _Move) -> float:
+def _gain_per_weight(move: _Move) -> float:
     return move.gain / len(move.changes)
 
 
 def _find_swaps(draft: LayerDraft, hot: int, cold: int) -> Iterator[_Move]:
-    """Exchange an expert of the hot rank for a lighter one of a cold rank."""
+    """Yield swaps of a hot rank's expert for a lighter one of a cold rank."""
     hot_slots = draft.held[hot]
     cold_slots = draft.held[cold]
     for hot_slot, heavy in enumerate(hot_slots):
         if heavy in cold_slots:
             continue
         for cold_slot, light in enumerate(cold_slots):
-            shifted = draft.piece(heavy) - draft.piece(light)
-            if shifted <= 0.0 or light in hot_slots:
+            shifted_tokens = draft.tokens_per_copy(heavy) - draft.tokens_per_copy(light)
+            if shifted_tokens <= 0.0 or light in hot_slots:
                 continue
-            new_hot = draft.loads[hot] - shifted / draft.speeds[hot]
-            new_cold = draft.loads[cold] + shifted / draft.speeds[cold]
+            new_hot = draft.loads[hot] - shifted_tokens / draft.speeds[hot]
+            new_cold = draft.loads[cold] + shifted_tokens / draft.speeds[cold]
             gain = draft.loads[hot] - max(new_hot, new_cold)
-            if gain > _LEAST_GAIN:
+            if gain > _MIN_GAIN:
                 changes = ((hot, hot_slot, light), (cold, cold_slot, heavy))
                 yield _Move(gain, changes)
 
 
 def _find_copies(draft: LayerDraft, hot: int, cold: int) -> Iterator[_Move]:
-    """Put another copy of a hot rank's expert in place of a spare copy.
+    """Yield replacements of a redundant copy by a copy of a hot rank's expert.
 
-    The spare's tokens go to its other copies, whose ranks must not become as
-    slow as the hot one was.
+    The tokens of the removed copy go to its other copies, whose ranks must
+    not become as slow as the hot rank was.
     """
     hot_slots = draft.held[hot]
     cold_slots = draft.held[cold]
@@ -185,24 +188,28 @@
         copies = draft.copies[spare]
         if copies < 2:
             continue
-        returned = draft.piece(spare)
-        regained = draft.tokens[spare] / (copies - 1) - returned
-        burdened = _slowest_of(draft, set(draft.holders(spare)) - {hot, cold}, regained)
+        removed_tokens = draft.tokens_per_copy(spare)
+        added_tokens = draft.tokens[spare] / (copies - 1) - removed_tokens
+        max_holder_load = _max_load_with(
+            draft, set(draft.holders(spare)) - {hot, cold}, added_tokens
+        )
         for heavy in hot_slots:
             if heavy in cold_slots:
                 continue
-            before = draft.piece(heavy)
+            before = draft.tokens_per_copy(heavy)
             after = draft.tokens[heavy] / (draft.copies[heavy] + 1)
-            shed = before - after - (regained if spare in hot_slots else 0.0)
-            new_hot = draft.loads[hot] - shed / draft.speeds[hot]
-            new_cold = draft.loads[cold] + (after - returned) / draft.speeds[cold]
-            gain = draft.loads[hot] - max(new_hot, new_cold, burdened)
-            if gain > _LEAST_GAIN:
+            relieved_tokens = (
+                before - after - (added_tokens if spare in hot_slots else 0.0)
+            )
+            new_hot = draft.loads[hot] - relieved_tokens / draft.speeds[hot]
+            new_cold = draft.loads[cold] + (after - removed_tokens) / draft.speeds[cold]
+            gain = draft.loads[hot] - max(new_hot, new_cold, max_holder_load)
+            if gain > _MIN_GAIN:
                 yield _Move(gain, ((cold, cold_slot, heavy),))
 
 
-def _slowest_of(draft: LayerDraft, ranks: set[int], tokens: float) -> float:
-    """Return the time of the slowest of some ranks, each given more tokens."""
+def _max_load_with(draft: LayerDraft, ranks: set[int], tokens: float) -> float:
+    """Return the maximum load of ranks if each is given additional tokens."""
     return max(
         (draft.loads[rank] + tokens / draft.speeds[rank] for rank in ranks),
         default=0.0,
--- a/mintsaddle/decisions/expert_maps/_popularity.py
+++ b/mintsaddle/decisions/expert_maps/_popularity.py
@@ -1,4 +1,4 @@
-"""Decayed counts of how often each expert is asked for."""
+"""Exponentially decayed token counts of each expert."""
 
 from collections.abc import Sequence
 
@@ -6,18 +6,18 @@
 
 
 class PopularityCounts:
-    """Tokens of each expert by layer, older ones counting less."""
+    """Exponential moving average of the tokens of each expert, by layer."""
 
-    def __init__(self, layers: int, experts: int, keep: float) -> None:
-        """Start with nothing counted.
+    def __init__(self, layers: int, experts: int, decay: float) -> None:
+        """Initialise all counts to zero.
 
         Args:
             layers: Layers of the model.
             experts: Experts of a layer.
-            keep: Share of the old counts that stays at each new counting.
+            decay: Weight of the old counts at each update, from 0 to 1.
         """
         self._counts = [[0.0] * experts for _ in range(layers)]
-        self._keep = keep
+        self._decay = decay
 
     @property
     def counts(self) -> Popularity:
@@ -25,14 +25,15 @@
         return self._counts
 
     def add(self, tokens: Popularity) -> None:
-        """Count the tokens of one more interval."""
+        """Update the average with the tokens of one interval."""
         self._counts = [
-            _blend(counts, new, self._keep)
+            _blend(counts, new, self._decay)
             for counts, new in zip(self._counts, tokens, strict=True)
         ]
 
 
-def _blend(old: Sequence[float], new: Sequence[float], keep: float) -> list[float]:
+def _blend(old: Sequence[float], new: Sequence[float], decay: float) -> list[float]:
     return [
-        keep * before + (1.0 - keep) * now for before, now in zip(old, new, strict=True)
+        decay * before + (1.0 - decay) * now
+        for before, now in zip(old, new, strict=True)
     ]
--- a/mintsaddle/decisions/expert_maps/_spread.py
+++ b/mintsaddle/decisions/expert_maps/_spread.py
@@ -1,10 +1,10 @@
-"""Spreading hot experts over ranks that have free places.
+"""Replicates hot experts on ranks with free capacity.
 
-Load pattern: one expert of a layer draws a fifth of all tokens, so the rank
-that holds it makes the whole group slow; which expert it is changes every few
-seconds. Copies of it on other ranks share its tokens evenly. A copy costs the
-move of its weights, dropping one costs nothing. A rank that is slow counts as
-one with so much more to do: all others wait for it.
+Load pattern: a single expert of a layer receives a fifth of all tokens, so the
+rank that holds it slows down the whole group; which expert is hot changes
+every few seconds. The tokens of an expert are split evenly among its copies.
+Adding a copy costs a transfer of its weights, dropping one costs nothing. The
+load of a rank is divided by its speed, since all ranks wait for a slow one.
 """
 
 from collections.abc import Sequence
@@ -17,47 +17,53 @@
     rank_loads,
 )
 
-GOOD_ENOUGH = 1.25
-"""Slowest rank over the mean at which no more copies are made: the requests
-that are written at one time differ by as much, and the next change of
-popularity undoes what further copies win."""
+TARGET_SKEW = 1.25
+"""Load of the slowest rank over the mean up to which no copies are added: the
+mix of concurrent requests varies by as much, and the next change of popularity
+cancels the gain of further copies."""
 
-_MOST_STEPS = 60
-"""Changes to a layer at most."""
+_MAX_LAYER_CHANGES = 60
+"""Maximum number of changes to one layer in one plan."""
 
-_LEAST_GAIN = 0.01
-"""Share of a rank's load that one more copy has to take away."""
+_MIN_RELIEF_SHARE = 0.01
+"""Minimum share of a rank's load that an additional copy must remove."""
 
 
-LOAD_SECONDS = 0.15
-"""Seconds that ranks load for one map, unless a single expert takes more."""
+MAX_LOAD_SECONDS = 0.15
+"""Maximum seconds a rank loads weights for one map, unless a single expert
+takes longer."""
 
 
 class SpreadLimits(NamedTuple):
-    """What the engines allow, and what is worth waiting for."""
+    """Capacity of the engines and maximum number of loads for one map."""
 
-    places: int
-    """Experts of one layer that a rank can hold."""
+    max_experts: int
+    """Maximum experts of one layer that a rank can hold."""
 
-    new_places: int
-    """Experts of one layer that a rank can load for one map."""
+    max_new_experts: int
+    """Maximum experts of one layer that a rank can load for one map."""
 
-    loads: int
-    """Experts of all layers that a rank loads for one map at most. All ranks
-    wait for the one that loads longest, and until then the old map is in use:
-    the first few copies relieve most, and a second map brings the rest."""
+    max_loads: int
+    """Maximum experts of all layers that a rank loads for one map. The old map
+    stays in use until the last rank has finished loading. The first few copies
+    have the largest effect, and the next map can add the remaining ones."""
 
 
-def choose_limits(places: int, new_places: int, load_seconds: float) -> SpreadLimits:
-    """Return the limits of a map.
+def choose_limits(
+    max_experts: int, max_new_experts: int, load_seconds: float
+) -> SpreadLimits:
+    """Return the limits for planning a map.
 
     Args:
-        places: Experts of one layer that a rank can hold.
-        new_places: Experts of one layer that a rank can load for one map.
-        load_seconds: Seconds that loading an expert takes.
+        max_experts: Maximum experts of one layer that a rank can hold.
+        max_new_experts: Maximum experts of one layer that a rank can load for
+            one map.
+        load_seconds: Seconds needed to load one expert.
     """
-    loads = int(LOAD_SECONDS / load_seconds) if load_seconds > 0 else new_places
-    return SpreadLimits(places, new_places, max(1, loads))
+    loads = (
+        int(MAX_LOAD_SECONDS / load_seconds) if load_seconds > 0 else max_new_experts
+    )
+    return SpreadLimits(max_experts, max_new_experts, max(1, loads))
 
 
 def spread_experts(
@@ -67,37 +73,37 @@
     limits: SpreadLimits,
     speeds: Sequence[float] = (),
 ) -> ExpertMap:
-    """Return a map that relieves the slowest ranks by further copies.
+    """Return a map with more copies of the hot experts of the slowest ranks.
 
     Args:
         version: Version of the new map.
-        old: The map in force.
+        old: The active map.
         popularity: Tokens of each expert, by layer.
-        limits: What a rank holds and loads at most.
-        speeds: Speed of each rank, 1 for a usual one; all usual if empty.
+        limits: Maximum experts that a rank holds and loads.
+        speeds: Speed of each rank, 1 being normal; 1 for all ranks if empty.
     """
     plan = _Plan(limits)
     for layer, tokens in zip(old.layers, popularity, strict=True):
         plan.add(_Layer(layer, tokens, speeds or (1.0,) * len(layer)))
-    plan.relieve_all()
+    plan.rebalance()
     return ExpertMap(version, tuple(layer.slots() for layer in plan.layers))
 
 
-def slowest_share(
+def mean_skew(
     expert_map: ExpertMap, popularity: Popularity, speeds: Sequence[float] = ()
 ) -> float:
-    """Return the slowest rank over the mean, averaged over layers."""
-    shares = []
+    """Return the skew (slowest rank over the mean), averaged over layers."""
+    skews = []
     for layer, tokens in zip(expert_map.layers, popularity, strict=True):
-        known = speeds or (1.0,) * len(layer)
-        loads = rank_loads(layer, tokens, known)
-        mean = sum(tokens) / sum(known)
-        shares.append(max(loads) / mean if mean else 1.0)
-    return sum(shares) / len(shares)
+        rank_speeds = speeds or (1.0,) * len(layer)
+        loads = rank_loads(layer, tokens, rank_speeds)
+        mean = sum(tokens) / sum(rank_speeds)
+        skews.append(max(loads) / mean if mean else 1.0)
+    return sum(skews) / len(skews)
 
 
 class _Layer:
-    """One layer while it is worked on."""
+    """Mutable state of one layer during planning."""
 
     def __init__(
         self, layer: LayerSlots, tokens: Sequence[float], speeds: Sequence[float]
@@ -105,50 +111,50 @@
         self.tokens = tokens
         self.speeds = speeds
         self.held = [set(experts) for experts in layer]
-        self.before = [frozenset(experts) for experts in layer]
+        self.initial = [frozenset(experts) for experts in layer]
         self.new_counts = [0] * len(layer)
         self.holders: dict[int, set[int]] = {}
         for rank, experts in enumerate(self.held):
             for expert in experts:
                 self.holders.setdefault(expert, set()).add(rank)
-        self.loads = [self._load(rank) for rank in range(len(layer))]
+        self.loads = [self._compute_load(rank) for rank in range(len(layer))]
         self.mean = sum(tokens) / sum(speeds)
 
     @property
     def skew(self) -> float:
-        """The slowest rank over the mean."""
+        """Load of the slowest rank over the mean."""
         return max(self.loads) / self.mean if self.mean else 1.0
 
     def slots(self) -> LayerSlots:
         return tuple(tuple(sorted(experts)) for experts in self.held)
 
-    def piece(self, expert: int) -> float:
+    def tokens_per_copy(self, expert: int) -> float:
         return self.tokens[expert] / len(self.holders[expert])
 
     def add(self, expert: int, rank: int) -> None:
         self.held[rank].add(expert)
         self.holders[expert].add(rank)
-        self.new_counts[rank] += expert not in self.before[rank]
-        self._reload(expert)
+        self.new_counts[rank] += expert not in self.initial[rank]
+        self._update_holder_loads(expert)
 
     def drop(self, expert: int, rank: int) -> None:
         self.held[rank].discard(expert)
         self.holders[expert].discard(rank)
-        self.new_counts[rank] -= expert not in self.before[rank]
-        self._reload(expert)
-        self.loads[rank] = self._load(rank)
+        self.new_counts[rank] -= expert not in self.initial[rank]
+        self._update_holder_loads(expert)
+        self.loads[rank] = self._compute_load(rank)
 
-    def _reload(self, expert: int) -> None:
+    def _update_holder_loads(self, expert: int) -> None:
         for rank in self.holders[expert]:
-            self.loads[rank] = self._load(rank)
+            self.loads[rank] = self._compute_load(rank)
 
-    def _load(self, rank: int) -> float:
-        tokens = sum(self.piece(expert) for expert in self.held[rank])
+    def _compute_load(self, rank: int) -> float:
+        tokens = sum(self.tokens_per_copy(expert) for expert in self.held[rank])
         return tokens / self.speeds[rank]
 
 
 class _Plan:
-    """All layers, and what ranks load for them together."""
+    """Mutable state of all layers, with their common load limits."""
 
     def __init__(self, limits: SpreadLimits) -> None:
         self.limits = limits
@@ -157,81 +163,85 @@
     def add(self, layer: _Layer) -> None:
         self.layers.append(layer)
 
-    def relieve_all(self) -> None:
-        """Relieve the worst layer first, since ranks can load a few only."""
-        left = dict.fromkeys(range(len(self.layers)), _MOST_STEPS)
-        while left:
-            index = max(left, key=lambda one: self.layers[one].skew)
+    def rebalance(self) -> None:
+        """Rebalance the most skewed layer first, since loads are limited."""
+        changes_left = dict.fromkeys(range(len(self.layers)), _MAX_LAYER_CHANGES)
+        while changes_left:
+            index = max(changes_left, key=lambda one: self.layers[one].skew)
             layer = self.layers[index]
-            if layer.skew <= GOOD_ENOUGH or not _relieve_slowest(layer, self):
-                del left[index]
+            if layer.skew <= TARGET_SKEW or not _offload_slowest_rank(layer, self):
+                del changes_left[index]
                 continue
-            left[index] -= 1
-            if not left[index]:
-                del left[index]
+            changes_left[index] -= 1
+            if not changes_left[index]:
+                del changes_left[index]
 
-    def may_load(self, layer: _Layer, expert: int, rank: int) -> bool:
-        """Return whether a rank can get an expert without loading too much."""
-        if expert in layer.before[rank]:
+    def can_load(self, layer: _Layer, expert: int, rank: int) -> bool:
+        """Return whether a rank can get an expert within its load limits."""
+        if expert in layer.initial[rank]:
             return True
-        if layer.new_counts[rank] >= self.limits.new_places:
+        if layer.new_counts[rank] >= self.limits.max_new_experts:
             return False
-        return sum(one.new_counts[rank] for one in self.layers) < self.limits.loads
+        return sum(one.new_counts[rank] for one in self.layers) < self.limits.max_loads
 
 
-def _relieve_slowest(layer: _Layer, plan: _Plan) -> bool:
-    """Take load from the slowest rank; return whether anything was found."""
+def _offload_slowest_rank(layer: _Layer, plan: _Plan) -> bool:
+    """Take load off the slowest rank; return whether a change was made."""
     ranks = range(len(layer.loads))
     hot = max(ranks, key=layer.loads.__getitem__)
-    by_piece = sorted(layer.held[hot], key=layer.piece, reverse=True)
-    if _drop_spare(layer, hot, by_piece):
+    by_tokens = sorted(layer.held[hot], key=layer.tokens_per_copy, reverse=True)
+    if _drop_redundant_copy(layer, hot, by_tokens):
         return True
-    for expert in by_piece:
-        # With one more copy each holder gets this much of its tokens.
+    for expert in by_tokens:
+        # Tokens per copy once another copy is added.
         share = layer.tokens[expert] / (len(layer.holders[expert]) + 1)
-        relief = (layer.piece(expert) - share) / layer.speeds[hot]
-        if relief < layer.loads[hot] * _LEAST_GAIN:
+        relief = (layer.tokens_per_copy(expert) - share) / layer.speeds[hot]
+        if relief < layer.loads[hot] * _MIN_RELIEF_SHARE:
             break
         for cold in sorted(ranks, key=layer.loads.__getitem__):
-            more = share / layer.speeds[cold]
-            if layer.loads[cold] + more >= layer.loads[hot] * (1.0 - _LEAST_GAIN):
+            added_load = share / layer.speeds[cold]
+            if layer.loads[cold] + added_load >= layer.loads[hot] * (
+                1.0 - _MIN_RELIEF_SHARE
+            ):
                 break
-            if expert in layer.held[cold] or not plan.may_load(layer, expert, cold):
+            if expert in layer.held[cold] or not plan.can_load(layer, expert, cold):
                 continue
-            if _make_room(layer, cold, plan.limits):
+            if _ensure_free_slot(layer, cold, plan.limits):
                 layer.add(expert, cold)
                 return True
     return False
 
 
-def _drop_spare(layer: _Layer, hot: int, by_piece: Sequence[int]) -> bool:
-    """Drop a copy from the slowest rank if its other holders bear it."""
-    for expert in by_piece:
+def _drop_redundant_copy(layer: _Layer, hot: int, by_tokens: Sequence[int]) -> bool:
+    """Drop a copy from the slowest rank if its other holders stay faster."""
+    for expert in by_tokens:
         holders = layer.holders[expert]
         if len(holders) < 2:
             continue
-        more = layer.tokens[expert] / (len(holders) - 1) - layer.piece(expert)
-        others = max(
-            layer.loads[rank] + more / layer.speeds[rank]
+        added_tokens = layer.tokens[expert] / (
+            len(holders) - 1
+        ) - layer.tokens_per_copy(expert)
+        max_other_load = max(
+            layer.loads[rank] + added_tokens / layer.speeds[rank]
             for rank in holders
             if rank != hot
         )
-        is_relief = others < layer.loads[hot] * (1.0 - _LEAST_GAIN)
-        if layer.piece(expert) > 0.0 and is_relief:
+        is_relief = max_other_load < layer.loads[hot] * (1.0 - _MIN_RELIEF_SHARE)
+        if layer.tokens_per_copy(expert) > 0.0 and is_relief:
             layer.drop(expert, hot)
             return True
     return False
 
 
-def _make_room(layer: _Layer, rank: int, limits: SpreadLimits) -> bool:
-    """Return whether a rank can take one more, dropping its idlest spare."""
-    if len(layer.held[rank]) < limits.places:
+def _ensure_free_slot(layer: _Layer, rank: int, limits: SpreadLimits) -> bool:
+    """Return whether a rank has a free slot; drop a spare copy if full."""
+    if len(layer.held[rank]) < limits.max_experts:
         return True
     spares = [e for e in layer.held[rank] if len(layer.holders[e]) > 1]
     if not spares:
         return False
-    idlest = min(spares, key=layer.piece)
-    if layer.piece(idlest) > layer.loads[rank] * 0.5:
+    least_loaded = min(spares, key=layer.tokens_per_copy)
+    if layer.tokens_per_copy(least_loaded) > layer.loads[rank] * 0.5:
         return False
-    layer.drop(idlest, rank)
+    layer.drop(least_loaded, rank)
     return True
--- a/mintsaddle/decisions/expert_maps/_watch.py
+++ b/mintsaddle/decisions/expert_maps/_watch.py
@@ -1,9 +1,9 @@
-"""Deciding when a group's map is worth changing.
+"""Decides when changing the expert map of a group pays off.
 
-Load pattern: popularity stays for a few seconds and then changes for most
-experts at once; some of it returns. A change costs the moved weights, some
-orders and slower steps while weights are loaded, so it has to win more than
-that: nothing is changed while the group keeps up anyway.
+Load pattern: popularity is stable for a few seconds and then changes for most
+experts at once; earlier patterns partly recur. Changing the map costs weight
+transfers, a few orders and slower steps while weights are loaded. The gain
+must exceed that cost, so the map of a group that keeps up is left unchanged.
 """
 
 import math
@@ -13,85 +13,86 @@
 from mintsaddle.decisions.expert_maps._maps import ExpertMap, Popularity
 from mintsaddle.decisions.expert_maps._spread import (
     SpreadLimits,
-    slowest_share,
+    mean_skew,
     spread_experts,
 )
 from mintsaddle.decisions.expert_maps._stall import StallWatch
 from mintsaddle.values import Instant
 
-BUSY_SHARE = 0.25
-"""Share of the longest pause that callers bear from which a step counts as
-long: a better map is looked for well before pauses are too long, since loading
-weights makes steps longer by 15 in 100."""
+BUSY_PAUSE_SHARE = 0.25
+"""Step time from which a group counts as busy, as a share of the longest
+pause that callers accept. Planning starts well before pauses become too long,
+since loading the weights of a new map makes steps 15% longer."""
 
-USUAL_PAUSE = 0.12
-"""Seconds between two events that callers bear where no route names them."""
+DEFAULT_PAUSE = 0.12
+"""Longest accepted seconds between two events if no route specifies them."""
 
-LEAST_GAIN = 0.1
-"""Share of the slowest rank's load that a new map has to take away."""
+MIN_GAIN = 0.1
+"""Minimum share by which a new map must reduce the mean skew."""
 
-AVERAGE_SECONDS = 0.6
-"""Seconds over which counts are averaged while popularity stays: long enough
-to even out which requests happen to be written at present."""
+AVERAGING_SECONDS = 0.6
+"""Time constant in seconds for averaging counts while popularity is stable;
+long enough to smooth out the mix of requests in progress."""
 
 SHIFT_DISTANCE = 0.22
-"""Share of a layer's tokens that go to other experts than before from which
-popularity has changed: older counts of that layer are dropped, since a map for
-a mixture of both would suit neither."""
+"""Share of a layer's tokens routed to different experts above which popularity
+counts as changed. Older counts of the layer are then discarded, since a map
+planned for a mixture of both would fit neither."""
 
-STEP_SECONDS = 0.3
-"""Seconds over which a step's time is measured; a poll may see none begin."""
+STEP_WINDOW_SECONDS = 0.3
+"""Window in seconds for measuring the step time; longer than one poll, during
+which no step may begin."""
 
-IN_FORCE_SECONDS = 1.0
-"""Seconds for an ordered map to come into use, after which it is planned from
-whatever the ranks report."""
+ACTIVATION_TIMEOUT_SECONDS = 1.0
+"""Seconds to wait for an ordered map to become active; after that, planning
+starts from the map that the ranks report."""
 
 
-def choose_samples(serving: Sequence[int], count: int) -> list[int]:
-    """Return the ranks to read, spread over those that get work.
+def choose_sampled_ranks(serving: Sequence[int], count: int) -> list[int]:
+    """Return the ranks to read, evenly spread over those that receive work.
 
-    Guards against a data centre that is out: its ranks run in step with all
-    others but get no requests. Judged by one of them the group seems idle, and
-    its map was not changed for as long as the data centre was out.
+    Ranks in a data centre that is marked out run the same steps as all others
+    but receive no requests. Sampling one of them would make the group appear
+    idle, and its map would not change until the data centre is back.
 
     Args:
-        serving: Ranks that get work.
-        count: How many to read.
+        serving: Ranks that receive work.
+        count: Number of ranks to read.
     """
     step = max(1, len(serving) // count)
     return list(serving[::step][:count])
 
 
 class MapWatch:
-    """What is known of one group in one epoch."""
+    """Tracks step time, popularity and rank speeds of a group in one epoch."""
 
     def __init__(
         self, epoch: int, layers: int, experts: int, longest_pause: float
     ) -> None:
-        """Begin to watch.
+        """Initialise with no measurements.
 
         Args:
             epoch: The group's epoch.
-            layers: Layers of its model.
-            experts: Experts of each layer.
-            longest_pause: Seconds between two events that callers bear; 0 if
-                no route names them.
+            layers: Number of layers of the model.
+            experts: Number of experts in each layer.
+            longest_pause: Longest seconds between two events that callers
+                accept; 0 if no route specifies them.
         """
         self._epoch = epoch
         self._layers = layers
         self._experts = experts
         # With a pause of 0 an idle group would count as busy.
-        self._longest_pause = longest_pause or USUAL_PAUSE
+        self._longest_pause = longest_pause or DEFAULT_PAUSE
         self._steps: deque[tuple[Instant, int]] = deque()
-        self._stall = StallWatch()
+        self._stall_watch = StallWatch()
         self._running = 0
         self._last_counts: dict[int, Popularity] = {}
-        self._fresh = _zeros(layers, experts)
-        self._fresh_at: Instant | None = None
+        self._pending_counts = _zeros(layers, experts)
+        self._popularity_at: Instant | None = None
         self._popularity: list[list[float]] | None = None
         self._slowness: dict[int, float] = {}
         self._ordered_version = 0
-        self._ordered_until: Instant = 0.0
+        self._pending_until: Instant = 0.0
 
     @property
     def epoch(self) -> int:
@@ -100,7 +101,7 @@
 
     @property
     def step_seconds(self) -> float:
-        """Seconds that a step takes at present; 0 while not known."""
+        """Current duration of a step in seconds; 0 if unknown."""
         if not self._running or len(self._steps) < 2:
             return 0.0
         (first_at, first), (last_at, last) = self._steps[0], self._steps[-1]
@@ -108,77 +109,79 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether the group is the bottleneck."""
-        return self.step_seconds >= self._longest_pause * BUSY_SHARE
+        """Whether steps are long enough to delay callers."""
+        return self.step_seconds >= self._longest_pause * BUSY_PAUSE_SHARE
 
     def is_stuck(self, now: Instant) -> bool:
-        """Return whether the group stands still although it has work."""
-        return self._stall.is_stuck(now)
+        """Return whether the group has work but makes no steps."""
+        return self._stall_watch.is_stuck(now)
 
-    def is_in_force(self, version: int, now: Instant) -> bool:
-        """Return whether no ordered map is still to come into use.
+    def can_plan_from(self, version: int, now: Instant) -> bool:
+        """Return whether a new map may be planned from the given version.
 
-        Guards against a plan from the map before: its orders are refused, or
-        it moves again what the ordered map has moved.
+        While an ordered map is not yet active, a plan would start from the
+        previous map: its orders would be refused, or it would repeat moves of
+        the ordered map.
 
         Args:
-            version: The version in use, as a rank reports.
-            now: The present instant.
+            version: The active version as reported by a rank.
+            now: The current time.
         """
-        return version == self._ordered_version or now >= self._ordered_until
+        return version == self._ordered_version or now >= self._pending_until
 
     def record_step(self, step: int, running: int, now: Instant) -> None:
-        """Note a report's step and requests."""
+        """Record the step number and running requests of a report."""
         if not running or not self._running:
             self._steps.clear()
-        self._stall.note(step, running, now)
+        self._stall_watch.note(step, running, now)
         if not self._steps or step != self._steps[-1][1]:
             self._steps.append((now, step))
-        while len(self._steps) > 2 and self._steps[1][0] <= now - STEP_SECONDS:
+        while len(self._steps) > 2 and self._steps[1][0] <= now - STEP_WINDOW_SECONDS:
             self._steps.popleft()
         self._running = running
 
     def record_counts(self, rank: int, counts: Popularity) -> None:
-        """Note a rank's counts since its start."""
+        """Record the token counts of a rank, cumulative since its start."""
         before = self._last_counts.get(rank)
         self._last_counts[rank] = counts
         if before is None:
             return
-        for fresh, old, new in zip(self._fresh, before, counts, strict=True):
+        for fresh, old, new in zip(self._pending_counts, before, counts, strict=True):
             for expert, (was, now) in enumerate(zip(old, new, strict=True)):
                 fresh[expert] += max(0, now - was)
 
-    def finish_counts(self, now: Instant) -> None:
-        """Take the counts of one poll into the popularity."""
-        fresh = self._fresh
+    def update_popularity(self, now: Instant) -> None:
+        """Update the popularity average with the counts of one poll."""
+        fresh = self._pending_counts
         if not all(sum(layer) for layer in fresh):
             return
-        self._fresh = _zeros(self._layers, self._experts)
+        self._pending_counts = _zeros(self._layers, self._experts)
         shares = [[count / sum(layer) for count in layer] for layer in fresh]
-        before, before_at = self._popularity, self._fresh_at
-        self._popularity, self._fresh_at = shares, now
+        before, before_at = self._popularity, self._popularity_at
+        self._popularity, self._popularity_at = shares, now
         if before is None or before_at is None:
             return
-        keep = math.exp((before_at - now) / AVERAGE_SECONDS)
+        decay = math.exp((before_at - now) / AVERAGING_SECONDS)
         self._popularity = [
-            _average(old, new, keep) for old, new in zip(before, shares, strict=True)
+            _average(old, new, decay) for old, new in zip(before, shares, strict=True)
         ]
 
     def record_slowness(self, rank: int, slowness: float) -> None:
-        """Note how slow a rank says that it is."""
+        """Record the slowness that a rank reports, at least 1."""
         self._slowness[rank] = max(1.0, slowness)
 
     def record_switch(self, version: int, now: Instant) -> None:
-        """Note that a map was ordered.
+        """Record that a map was ordered.
 
-        The time of a step is forgotten: it was measured around a switch.
+        The step time is reset, since steps around a switch are not
+        representative.
         """
         self._steps.clear()
         self._ordered_version = version
-        self._ordered_until = now + IN_FORCE_SECONDS
+        self._pending_until = now + ACTIVATION_TIMEOUT_SECONDS
 
     def plan(self, current: ExpertMap, limits: SpreadLimits) -> ExpertMap | None:
-        """Return a map that is worth the change, or None."""
+        """Return a new map if its gain is sufficient, else None."""
         if self._popularity is None:
             return None
         ranks = range(len(current.layers[0]))
@@ -186,17 +189,19 @@
         popularity = self._popularity
         version = current.version + 1
         planned = spread_experts(version, current, popularity, limits, speeds)
-        before = slowest_share(current, popularity, speeds)
-        after = slowest_share(planned, popularity, speeds)
-        return planned if after <= before * (1.0 - LEAST_GAIN) else None
+        before = mean_skew(current, popularity, speeds)
+        after = mean_skew(planned, popularity, speeds)
+        return planned if after <= before * (1.0 - MIN_GAIN) else None
 
 
-def _average(old: Sequence[float], new: Sequence[float], keep: float) -> list[float]:
-    """Return a layer's popularity; the new one alone after a change."""
+def _average(old: Sequence[float], new: Sequence[float], decay: float) -> list[float]:
+    """Return a layer's averaged popularity, or the new one after a shift."""
     distance = sum(abs(was - now) for was, now in zip(old, new, strict=True)) / 2
     if distance > SHIFT_DISTANCE:
         return list(new)
-    return [keep * was + (1.0 - keep) * now for was, now in zip(old, new, strict=True)]
+    return [
+        decay * was + (1.0 - decay) * now for was, now in zip(old, new, strict=True)
+    ]
 
 
 def _zeros(layers: int, experts: int) -> list[list[float]]:
--- a/mintsaddle/decisions/expert_maps/tests/test_planner.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Planning: whole maps, few moves, stragglers."""
+"""Tests for planning maps from scratch and by incremental moves."""
 
 import random
 
@@ -13,7 +13,7 @@
     is_complete,
     make_first_map,
     measure_skew,
-    plan_afresh,
+    plan_from_scratch,
     plan_moves,
 )
 from mintsaddle.decisions.expert_maps._draft import LayerDraft
@@ -39,8 +39,8 @@
     ) -> None:
         speeds = [speed, 1.0, 1.0, 1.0]
         popularity = tokens(seed)
-        afresh = plan_afresh(2, first(), popularity, speeds)
-        assert is_complete(afresh, EXPERTS)
+        from_scratch = plan_from_scratch(2, first(), popularity, speeds)
+        assert is_complete(from_scratch, EXPERTS)
         planned = plan_moves(3, first(), popularity, speeds, FREE)
         if planned is not None:
             assert is_complete(planned, EXPERTS)
@@ -75,7 +75,9 @@
     @given(
         st.lists(st.tuples(st.integers(0, 3), st.integers(0, 3), st.integers(0, 11)))
     )
-    def test_loads_stay_true(self, changes: list[tuple[int, int, int]]) -> None:
+    def test_incremental_loads_match_recomputed_ones(
+        self, changes: list[tuple[int, int, int]]
+    ) -> None:
         speeds = [1.0, 2.0, 1.0, 0.5]
         popularity = tokens(3)[0]
         draft = LayerDraft(first().layers[0], popularity, speeds)
--- a/mintsaddle/decisions/expert_maps/tests/test_spread.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Copies of hot experts, and when a new map is worth its cost."""
+"""Tests for replicating hot experts and for deciding when to replan."""
 
 import random
 
@@ -9,21 +9,21 @@
     MapWatch,
     SpreadLimits,
     choose_limits,
-    choose_samples,
+    choose_sampled_ranks,
     is_complete,
     make_first_map,
-    slowest_share,
+    mean_skew,
     spread_experts,
 )
 
 RANKS, EXPERTS, LAYERS = 12, 96, 3
 LONGEST_PAUSE = 0.24
-LIMITS = SpreadLimits(places=11, new_places=4, loads=12)
+LIMITS = SpreadLimits(max_experts=11, max_new_experts=4, max_loads=12)
 FIRST_MAP = make_first_map(0, RANKS, EXPERTS, LAYERS, 8)
 
 
 def make_popularity(seed: int) -> list[list[float]]:
-    """Return a skewed popularity; other experts are hot in each layer."""
+    """Return a skewed popularity with different hot experts in each layer."""
     rng = random.Random(seed)
     layers = []
     for _ in range(LAYERS):
@@ -44,24 +44,24 @@
 class TestSpread:
     @pytest.mark.parametrize("seed", range(10))
     def test_a_hot_expert_no_longer_makes_one_rank_slow(self, seed: int) -> None:
-        """Guards against a step that waits for one expert's rank."""
+        """Guards against steps that wait for the rank of one hot expert."""
         popularity = make_popularity(seed)
         new = spread_experts(1, FIRST_MAP, popularity, LIMITS)
-        assert slowest_share(FIRST_MAP, popularity) > 2.5
-        assert slowest_share(new, popularity) < 1.6
+        assert mean_skew(FIRST_MAP, popularity) > 2.5
+        assert mean_skew(new, popularity) < 1.6
 
     @pytest.mark.parametrize("seed", range(10))
     def test_changes_on_changes_keep_to_what_ranks_hold(self, seed: int) -> None:
-        """A map is refused by the engines, or an expert is on no rank."""
+        """Guards against maps that engines refuse or that lack an expert."""
         current = FIRST_MAP
         for step in range(6):
             popularity = make_popularity(100 * seed + step)
             new = spread_experts(step + 1, current, popularity, LIMITS)
             assert is_complete(new, EXPERTS)
             held = [len(experts) for layer in new.layers for experts in layer]
-            assert max(held) <= LIMITS.places
-            assert count_new(current, new) <= LIMITS.new_places
-            assert slowest_share(new, popularity) <= slowest_share(current, popularity)
+            assert max(held) <= LIMITS.max_experts
+            assert count_new(current, new) <= LIMITS.max_new_experts
+            assert mean_skew(new, popularity) <= mean_skew(current, popularity)
             current = new
 
     def test_an_idle_group_keeps_its_map(self) -> None:
@@ -72,26 +72,26 @@
 
 class TestSamples:
     def test_ranks_without_work_are_not_asked(self) -> None:
-        """Guards against a group judged by a rank that is idle."""
-        assert choose_samples(range(4, 12), 2) == [4, 8]
-        assert choose_samples(range(12), 2) == [0, 6]
-        assert choose_samples([3], 2) == [3]
+        """Guards against an idle sampled rank making its group look idle."""
+        assert choose_sampled_ranks(range(4, 12), 2) == [4, 8]
+        assert choose_sampled_ranks(range(12), 2) == [0, 6]
+        assert choose_sampled_ranks([3], 2) == [3]
 
 
 class TestSlowRanks:
     def test_a_slow_rank_gets_less_of_the_hot_experts(self) -> None:
-        """Guards against a step that waits for a slow engine."""
+        """Guards against steps that wait for a slow engine."""
         speeds = [1.0] * RANKS
         speeds[5] = 1.0 / 1.6
-        blind, aware = 0.0, 0.0
+        without_speeds, with_speeds = 0.0, 0.0
         for seed in range(10):
             popularity = make_popularity(seed)
-            for_all = spread_experts(1, FIRST_MAP, popularity, LIMITS)
-            for_slow = spread_experts(1, FIRST_MAP, popularity, LIMITS, speeds)
-            blind += slowest_share(for_all, popularity, speeds) / 10
-            aware += slowest_share(for_slow, popularity, speeds) / 10
-        assert aware < 1.45
-        assert aware < 0.9 * blind
+            uniform = spread_experts(1, FIRST_MAP, popularity, LIMITS)
+            adjusted = spread_experts(1, FIRST_MAP, popularity, LIMITS, speeds)
+            without_speeds += mean_skew(uniform, popularity, speeds) / 10
+            with_speeds += mean_skew(adjusted, popularity, speeds) / 10
+        assert with_speeds < 1.45
+        assert with_speeds < 0.9 * without_speeds
 
     def test_slowness_is_taken_into_the_plan(self) -> None:
         watch = TestMapWatch().watch_steps(0.1)
@@ -114,8 +114,8 @@
 
     @pytest.mark.parametrize("seed", range(6))
     def test_no_rank_loads_more_than_the_others_wait_for(self, seed: int) -> None:
-        """Guards against a map that waits for one rank's weights."""
-        limits = LIMITS._replace(loads=1)
+        """Guards against a map delayed by one rank that loads many experts."""
+        limits = LIMITS._replace(max_loads=1)
         popularity = make_popularity(seed)
         new = spread_experts(1, FIRST_MAP, popularity, limits)
         for rank in range(RANKS):
@@ -125,19 +125,19 @@
                 for expert in set(gets[rank]) - set(had[rank])
             ]
             assert len(loaded) <= 1
-        before = slowest_share(FIRST_MAP, popularity)
-        assert slowest_share(new, popularity) < 0.7 * before
+        before = mean_skew(FIRST_MAP, popularity)
+        assert mean_skew(new, popularity) < 0.7 * before
 
 
 class TestMapWatch:
     def watch_steps(self, step_seconds: float) -> MapWatch:
         watch = MapWatch(1, LAYERS, EXPERTS, LONGEST_PAUSE)
-        for look in range(4):
-            now = look * 0.5
+        for poll in range(4):
+            now = poll * 0.5
             watch.record_step(1 + round(now / step_seconds), 5, now)
-            counts = [[x * 1e6 * (look + 1) for x in y] for y in make_popularity(1)]
+            counts = [[x * 1e6 * (poll + 1) for x in y] for y in make_popularity(1)]
             watch.record_counts(0, counts)
-            watch.finish_counts(now)
+            watch.update_popularity(now)
         return watch
 
     def test_a_group_that_keeps_up_isnt_touched(self) -> None:
@@ -145,11 +145,11 @@
         assert self.watch_steps(0.1).is_busy
 
     def test_a_group_without_a_named_pause_isnt_always_busy(self) -> None:
-        """Guards against weights moved on an idle group."""
+        """Guards against moving weights while a group is idle."""
         watch = MapWatch(1, LAYERS, EXPERTS, 0.0)
         assert not watch.is_busy
-        for look in range(4):
-            watch.record_step(1 + 50 * look, 5, look * 0.5)
+        for poll in range(4):
+            watch.record_step(1 + 50 * poll, 5, poll * 0.5)
         assert not watch.is_busy
 
     def test_a_map_is_planned_once_for_the_same_popularity(self) -> None:
@@ -159,7 +159,7 @@
         assert watch.plan(planned, LIMITS) is None
 
     def test_a_group_with_work_that_makes_no_steps_is_stuck(self) -> None:
-        """A group stands still because a dead entry had held a step."""
+        """Guards against a stall left by a dead entry that held a step."""
         watch = self.watch_steps(0.1)
         watch.record_step(16, 5, 2.0)
         watch.record_step(16, 5, 2.7)
@@ -169,7 +169,7 @@
         assert not idle.is_stuck(9.0)
 
     def test_a_change_of_popularity_is_followed_within_one_look(self) -> None:
-        """Guards against old counts averaged with new ones."""
+        """Guards against averaging counts from before and after a shift."""
         watch = self.watch_steps(0.1)
         before, after = make_popularity(1), make_popularity(2)
         counts = [
@@ -177,16 +177,16 @@
             for layers in zip(before, after, strict=True)
         ]
         watch.record_counts(0, counts)
-        watch.finish_counts(1.6)
+        watch.update_popularity(1.6)
         planned = watch.plan(FIRST_MAP, LIMITS)
         assert planned is not None
         ideal = spread_experts(1, FIRST_MAP, after, LIMITS)
-        assert slowest_share(planned, after) < 1.02 * slowest_share(ideal, after)
+        assert mean_skew(planned, after) < 1.02 * mean_skew(ideal, after)
 
     def test_no_map_is_planned_until_the_last_one_is_in_use(self) -> None:
-        """Guards against plans from a map that isn't in force."""
+        """Guards against planning from a map that is about to be replaced."""
         watch = self.watch_steps(0.1)
         watch.record_switch(7, now=2.0)
-        assert not watch.is_in_force(3, now=2.1)
-        assert watch.is_in_force(7, now=2.1)
-        assert watch.is_in_force(3, now=3.0)
+        assert not watch.can_plan_from(3, now=2.1)
+        assert watch.can_plan_from(7, now=2.1)
+        assert watch.can_plan_from(3, now=3.0)
--- a/mintsaddle/decisions/routing/__init__.py
+++ b/mintsaddle/decisions/routing/__init__.py
@@ -1,6 +1,7 @@
-"""Which endpoint an entry tries, from what it knows, which may be old."""
+"""Selects the endpoint for an attempt from a possibly stale local view."""
 
 from mintsaddle.decisions.routing._commands import (
+    clear_backoff,
     record_failed,
     record_finished,
     record_load,
@@ -8,7 +9,6 @@
     record_request,
     record_sent,
     spend_retry,
-    welcome_back,
 )
 from mintsaddle.decisions.routing._queries import (
     DrawnKey,
@@ -38,5 +38,5 @@
     "record_request",
     "record_sent",
     "spend_retry",
-    "welcome_back",
+    "clear_backoff",
 ]
--- a/mintsaddle/decisions/routing/_commands.py
+++ b/mintsaddle/decisions/routing/_commands.py
@@ -1,22 +1,24 @@
-"""What an entry learns from its attempts."""
+"""Updates the routing state of an entry from its attempts."""
 
 from collections.abc import Iterable
 
 from mintsaddle.decisions.routing._state import RoutingState
 from mintsaddle.values import Boot, Instant, Load, Reason
 
-_FIRST_BLOCK = 0.5
-_LONGEST_BLOCK = 30.0
-_REFUSED_BLOCK = 1.0
-_AWAY_REASONS = frozenset({Reason.LEAVING, Reason.MARKED_OUT, Reason.ENGINE_DOWN})
+_MIN_BACKOFF_SECONDS = 0.5
+_MAX_BACKOFF_SECONDS = 30.0
+_REFUSED_BACKOFF_SECONDS = 1.0
+_UNAVAILABLE_REASONS = frozenset(
+    {Reason.LEAVING, Reason.MARKED_OUT, Reason.ENGINE_DOWN}
+)
 
 
 def record_request(state: RoutingState) -> None:
-    """Count a fresh request: it earns a share of a retry.
+    """Credit the retry budget for a new request.
 
-    Guards against retry storms: when most attempts fail, a count for each
-    request multiplies the load by that count; a share of recent requests adds
-    at most that share.
+    This prevents retry storms. If most attempts fail, a fixed number of
+    retries per request multiplies the load by that number; a budget earned as
+    a share of recent requests adds at most that share.
     """
     state.replace_budget(min(state.budget_cap, state.budget + state.retry_share))
 
@@ -27,24 +29,30 @@
 
 
 def record_sent(state: RoutingState, endpoint: str) -> None:
-    """Count an attempt that is on its way."""
+    """Count an attempt as in flight."""
     view = state.view(endpoint)
-    state.replace_view(endpoint, view._replace(sent=view.sent + 1))
+    state.replace_view(endpoint, view._replace(own_in_flight=view.own_in_flight + 1))
 
 
 def record_finished(state: RoutingState, endpoint: str) -> None:
-    """Count an attempt that is over, however it ended."""
+    """Count an attempt as finished, whatever its result."""
     view = state.view(endpoint)
-    state.replace_view(endpoint, view._replace(sent=max(0, view.sent - 1)))
+    state.replace_view(
+        endpoint, view._replace(own_in_flight=max(0, view.own_in_flight - 1))
+    )
 
 
 def record_load(
     state: RoutingState, endpoint: str, boot: Boot, load: Load, now: Instant
 ) -> None:
-    """Take over the exact load that an endpoint daemon reported."""
+    """Store the load that an endpoint reported and reset its failures."""
     view = state.view(endpoint)
     view = view._replace(
-        load=load, load_at=now, sent_at_report=view.sent, boot=boot, failures=0
+        load=load,
+        load_at=now,
+        own_in_flight_at_report=view.own_in_flight,
+        boot=boot,
+        failures=0,
     )
     if not load.leaving:
         view = view._replace(blocked_until=0.0)
@@ -54,30 +62,33 @@
 def record_refused(
     state: RoutingState, endpoint: str, reason: Reason, now: Instant
 ) -> None:
-    """Rest an endpoint that is away; a full one only has its load noted."""
-    if reason not in _AWAY_REASONS:
+    """Back off from an unavailable endpoint; a full one is not blocked."""
+    if reason not in _UNAVAILABLE_REASONS:
         return
     view = state.view(endpoint)
-    state.replace_view(endpoint, view._replace(blocked_until=now + _REFUSED_BLOCK))
+    state.replace_view(
+        endpoint, view._replace(blocked_until=now + _REFUSED_BACKOFF_SECONDS)
+    )
 
 
 def record_failed(state: RoutingState, endpoint: str, now: Instant) -> None:
-    """Rest an endpoint that failed or was silent, longer each time.
+    """Back off exponentially from an endpoint that failed or did not answer.
 
-    It is tried again when its rest is over, so it is never forgotten.
+    The endpoint is eligible again after the backoff, so it is never excluded
+    permanently.
     """
     view = state.view(endpoint)
-    rest = min(_LONGEST_BLOCK, _FIRST_BLOCK * 2**view.failures)
-    # The daemon may come back as another run, so its boot is forgotten: a key
-    # issued to a dead run could only end in doubt.
+    backoff = min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2**view.failures)
+    # The daemon may restart with another boot, so the known boot is cleared:
+    # a key issued to an ended boot could only end in doubt.
     view = view._replace(
-        failures=view.failures + 1, blocked_until=now + rest, boot=None
+        failures=view.failures + 1, blocked_until=now + backoff, boot=None
     )
     state.replace_view(endpoint, view)
 
 
-def welcome_back(state: RoutingState, endpoints: Iterable[str]) -> None:
-    """End the rest of endpoints that operators have marked in again."""
+def clear_backoff(state: RoutingState, endpoints: Iterable[str]) -> None:
+    """Clear the backoff of endpoints that operators have marked in again."""
     for endpoint in endpoints:
         view = state.view(endpoint)
         state.replace_view(endpoint, view._replace(blocked_until=0.0, failures=0))
--- a/mintsaddle/decisions/routing/_queries.py
+++ b/mintsaddle/decisions/routing/_queries.py
@@ -1,4 +1,4 @@
-"""Choosing an endpoint."""
+"""Endpoint selection."""
 
 import random
 from collections.abc import Sequence
@@ -9,31 +9,32 @@
 from mintsaddle.fleet import Fleet, Marks, Service
 from mintsaddle.values import Instant, OrderKey, issue_key, rank_by_score
 
-SUBSET = 24
-"""Endpoints of a service that one entry uses, however many there are."""
+SUBSET_SIZE = 24
+"""Maximum endpoints of a service that one entry uses."""
 
-AFFINITY_SLACK = 1.25
-"""A prefix's own endpoint may be fuller than the mean by this factor."""
+AFFINITY_LOAD_FACTOR = 1.25
+"""Maximum load of a prefix's preferred endpoint, relative to the mean."""
 
-_CHOICES = 2
+_CANDIDATES_COMPARED = 2
 
 
 class RouteRequest(NamedTuple):
-    """What the choice needs to know of one request."""
+    """Routing parameters of one request."""
 
     service: Service
     prefix: str
-    """Names the prompt prefix; requests that share it share a cache."""
+    """Identifies the prompt prefix; requests that share it share a cache."""
 
     tried: frozenset[str]
-    """Endpoints that this request has tried already."""
+    """Endpoints already tried for this request."""
 
 
 def choose_subset(fleet: Fleet, service: Service, state: RoutingState) -> Sequence[str]:
     """Return the stable subset of endpoints that this entry uses.
 
-    Its own data centre fills the subset first, but a part stays with the
-    others, so that losing the own data centre leaves somewhere to go.
+    Endpoints of the local data centre come first, but part of the subset is
+    reserved for others, so that the entry can still route if the local data
+    centre fails.
     """
     places = tuple(
         (name, fleet.endpoints[name].data_centre == state.data_centre)
@@ -44,11 +45,11 @@
 
 @lru_cache(maxsize=256)
 def _rank_subset(vm: str, places: tuple[tuple[str, bool], ...]) -> tuple[str, ...]:
-    near = rank_by_score(vm, [name for name, is_near in places if is_near])
-    far = rank_by_score(vm, [name for name, is_near in places if not is_near])
-    near_room = max(SUBSET // 2, SUBSET - len(far))
-    chosen = near[:near_room]
-    return (*chosen, *far[: SUBSET - len(chosen)])
+    local = rank_by_score(vm, [name for name, is_local in places if is_local])
+    remote = rank_by_score(vm, [name for name, is_local in places if not is_local])
+    local_count = max(SUBSET_SIZE // 2, SUBSET_SIZE - len(remote))
+    chosen = local[:local_count]
+    return (*chosen, *remote[: SUBSET_SIZE - len(chosen)])
 
 
 def choose_endpoint(
@@ -61,35 +62,36 @@
 ) -> str | None:
     """Return the endpoint to try next, or None when none is left.
 
-    Own data centre first while it has a free place, then the others. Within
-    that: the prefix's own endpoint unless it is much fuller than the mean,
-    else the less loaded of two (bounded-load affinity, power of two choices).
+    Endpoints of the local data centre are preferred while any of them has
+    capacity. Among the candidates, the preferred endpoint of the prefix is
+    used unless its load exceeds the bound (bounded-load affinity); otherwise
+    the less loaded of two random ones (power of two choices).
     """
     names = [
         name
         for name in choose_subset(fleet, request.service, state)
         if name not in request.tried and not marks.is_out(fleet, name)
     ]
-    rested = [name for name in names if state.view(name).blocked_until <= now]
-    if not rested:
-        return _least_rested(state, names)
+    available = [name for name in names if state.view(name).blocked_until <= now]
+    if not available:
+        return _earliest_available(state, names)
     service = request.service
-    free = [name for name in rested if has_free_place(state, service, name, now)]
-    near = [
+    free = [name for name in available if has_free_place(state, service, name, now)]
+    local = [
         name for name in free if fleet.endpoints[name].data_centre == state.data_centre
     ]
-    candidates = near or free or rested
-    own = _own_by_prefix(state, request, candidates, now)
-    if own is not None:
-        return own
-    pair = rng.sample(candidates, min(_CHOICES, len(candidates)))
+    candidates = local or free or available
+    preferred = _choose_by_prefix(state, request, candidates, now)
+    if preferred is not None:
+        return preferred
+    pair = rng.sample(candidates, min(_CANDIDATES_COMPARED, len(candidates)))
     return min(pair, key=lambda name: _utilisation(state, service, name, now))
 
 
 def has_free_place(
     state: RoutingState, service: Service, endpoint: str, now: Instant
 ) -> bool:
-    """Return whether an endpoint is believed to have a place."""
+    """Return whether an endpoint is estimated to have capacity."""
     return _utilisation(state, service, endpoint, now) < 1.0
 
 
@@ -101,9 +103,9 @@
     now: Instant,
     rng: random.Random,
 ) -> str | None:
-    """Return a home for a key about to be issued.
+    """Return a home endpoint for a new key.
 
-    It must be known by its boot, since the key names that very run.
+    Only endpoints with a known boot qualify, since the key contains the boot.
     """
     unknown = [
         name for name in request.service.endpoints if state.view(name).boot is None
@@ -113,7 +115,7 @@
 
 
 class DrawnKey(NamedTuple):
-    """A key issued to a home that answers now."""
+    """A new key and the home endpoint that it is bound to."""
 
     home: str
     key: OrderKey
@@ -127,7 +129,7 @@
     now: Instant,
     rng: random.Random,
 ) -> DrawnKey | None:
-    """Return a fresh key for a known home, or None when none answers."""
+    """Return a new key for an available home, or None if there is none."""
     home = choose_home(state, fleet, marks, request, now, rng)
     boot = state.view(home).boot if home else None
     if home is None or boot is None:
@@ -136,25 +138,25 @@
 
 
 def may_retry(state: RoutingState) -> bool:
-    """Return whether the retry budget allows one more."""
+    """Return whether the budget allows another retry."""
     return state.budget >= 1.0
 
 
-def _least_rested(state: RoutingState, names: list[str]) -> str | None:
-    """With every endpoint at rest, the one whose rest ends first is tried."""
+def _earliest_available(state: RoutingState, names: list[str]) -> str | None:
+    """Return the endpoint whose backoff ends first."""
     if not names:
         return None
     return min(names, key=lambda name: state.view(name).blocked_until)
 
 
-def _own_by_prefix(
+def _choose_by_prefix(
     state: RoutingState, request: RouteRequest, candidates: list[str], now: Instant
 ) -> str | None:
     if not request.prefix:
         return None
     loads = [state.view(name).estimate_load(now) for name in candidates]
-    bound = AFFINITY_SLACK * (sum(loads) + 1) / len(candidates)
-    for name in rank_by_score(request.prefix, candidates)[:_CHOICES]:
+    bound = AFFINITY_LOAD_FACTOR * (sum(loads) + 1) / len(candidates)
+    for name in rank_by_score(request.prefix, candidates)[:_CANDIDATES_COMPARED]:
         if state.view(name).estimate_load(now) < bound:
             return name
     return None
--- a/mintsaddle/decisions/routing/_state.py
+++ b/mintsaddle/decisions/routing/_state.py
@@ -1,57 +1,57 @@
-"""What an entry remembers of endpoints."""
+"""Routing state of an entry."""
 
 from typing import NamedTuple
 
 from mintsaddle.values import Boot, Instant, Load
 
-REPORT_LIFE = 1.0
-"""Seconds for which a reported load is believed."""
+REPORT_TTL = 1.0
+"""Seconds for which a reported load is valid."""
 
 BUDGET_CAP = 20.0
-"""Retries that may be saved up by quiet times."""
+"""Maximum retries accumulated while few are needed."""
 
 RETRY_SHARE = 0.2
-"""Retries allowed for each fresh request."""
+"""Retries credited for each new request."""
 
 
 class EndpointView(NamedTuple):
-    """An entry's possibly old view of one endpoint."""
+    """Possibly stale view that an entry has of one endpoint."""
 
-    sent: int = 0
-    """This entry's own attempts there that are not over."""
+    own_in_flight: int = 0
+    """Unfinished attempts that this entry sent to the endpoint."""
 
     load: Load | None = None
-    """The last load that the endpoint's daemon reported."""
+    """Last load reported by the endpoint's daemon."""
 
     load_at: Instant = 0.0
-    """When it reported that."""
+    """Time of that report."""
 
-    sent_at_report: int = 0
-    """Own attempts there when that load was reported."""
+    own_in_flight_at_report: int = 0
+    """Value of `own_in_flight` at the time of that report."""
 
     boot: Boot | None = None
-    """The run of the endpoint's daemon, for keys issued to it."""
+    """Boot of the endpoint's daemon, if known; used to issue keys."""
 
     failures: int = 0
-    """Failures in a row; a good answer sets it to 0."""
+    """Consecutive failures; reset to 0 by a reported load."""
 
     blocked_until: Instant = 0.0
-    """Not tried before, unless nothing else is left."""
+    """Time until which the endpoint is tried only if no other is available."""
 
     def estimate_load(self, now: Instant) -> int:
-        """Return the requests believed to be there, waiting ones included.
+        """Return the estimated requests at the endpoint, queued ones included.
 
-        An old report counts for nothing: an endpoint that was full once would
-        otherwise never be tried again by an entry that has nothing there.
+        An expired report is ignored. Otherwise an endpoint that was once full
+        would never be retried by an entry with no requests in flight there.
         """
-        if self.load is None or now > self.load_at + REPORT_LIFE:
-            return self.sent
-        since = self.sent - self.sent_at_report
-        return max(self.sent, self.load.in_flight + self.load.queued + since)
+        if self.load is None or now > self.load_at + REPORT_TTL:
+            return self.own_in_flight
+        since = self.own_in_flight - self.own_in_flight_at_report
+        return max(self.own_in_flight, self.load.in_flight + self.load.queued + since)
 
 
 class RoutingState:
-    """One entry's views of all endpoints and its retry budget."""
+    """Endpoint views and retry budget of one entry."""
 
     def __init__(
         self,
@@ -79,25 +79,25 @@
 
     @property
     def budget(self) -> float:
-        """Retries that may still be spent."""
+        """Retries currently available."""
         return self._budget
 
     @property
     def budget_cap(self) -> float:
-        """Retries that may be saved up."""
+        """Maximum retries that can accumulate."""
         return self._budget_cap
 
     @property
     def retry_share(self) -> float:
-        """Retries that each fresh request earns."""
+        """Retries credited for each new request."""
         return self._retry_share
 
     def view(self, endpoint: str) -> EndpointView:
-        """Return the view of an endpoint; a fresh one if nothing is known."""
+        """Return the view of an endpoint; a default one if unknown."""
         return self._views.get(endpoint, EndpointView())
 
     def replace_view(self, endpoint: str, view: EndpointView) -> None:
-        """Put a changed view in the place of the old one."""
+        """Replace the view of an endpoint."""
         self._views[endpoint] = view
 
     def replace_budget(self, budget: float) -> None:
@@ -105,10 +105,10 @@
         self._budget = budget
 
     def replace_budget_cap(self, cap: float) -> None:
-        """Set how many retries may be saved up."""
+        """Set the maximum budget and reduce the current one to it."""
         self._budget_cap = cap
         self._budget = min(self._budget, cap)
 
     def forget(self, endpoint: str) -> None:
-        """Drop the view of an endpoint that won't come back."""
+        """Remove the view of an endpoint that is permanently gone."""
         self._views.pop(endpoint, None)
--- a/mintsaddle/decisions/routing/tests/test_routing.py
+++ b/mintsaddle/decisions/routing/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: subset, own data centre first, affinity, budget, outliers."""
+"""Tests for endpoint subsets, selection, backoff and the retry budget."""
 
 import random
 from collections import Counter
@@ -11,6 +11,7 @@
     RoutingState,
     choose_endpoint,
     choose_subset,
+    clear_backoff,
     may_retry,
     record_failed,
     record_finished,
@@ -18,7 +19,6 @@
     record_request,
     record_sent,
     spend_retry,
-    welcome_back,
 )
 from mintsaddle.fleet import NO_MARKS, Fleet, Marks, read_fleet
 from mintsaddle.values import Load
@@ -123,25 +123,25 @@
             name = choose_endpoint(state, FLEET, NO_MARKS, request, NOW, rng)
             assert name is not None
             record_sent(state, name)
-        loads = [state.view(name).sent for name in ("e0", "e2", "e4")]
+        loads = [state.view(name).own_in_flight for name in ("e0", "e2", "e4")]
         assert max(loads) - min(loads) <= 3 + count // 10
 
 
 class TestOutliers:
-    def test_failed_endpoint_rests_and_is_tried_again(self) -> None:
+    def test_failed_endpoint_backs_off_and_is_tried_again(self) -> None:
         state = make_state()
         record_failed(state, "e0", NOW)
         assert choose(state, tried=frozenset(["e2", "e4"])) in {"e1", "e3", "e5"}
-        rest = state.view("e0").blocked_until
-        assert NOW < rest < NOW + 1.0
+        blocked_until = state.view("e0").blocked_until
+        assert NOW < blocked_until < NOW + 1.0
 
-    def test_rest_grows_but_has_an_end(self) -> None:
+    def test_backoff_grows_up_to_a_limit(self) -> None:
         state = make_state()
         for _ in range(20):
             record_failed(state, "e0", NOW)
         assert state.view("e0").blocked_until <= NOW + 30.0
 
-    def test_all_at_rest_still_gives_one(self) -> None:
+    def test_all_in_backoff_still_gives_one(self) -> None:
         state = make_state()
         for name in FLEET.endpoints:
             record_failed(state, name, NOW)
@@ -150,7 +150,7 @@
     def test_endpoint_marked_in_is_used_at_once(self) -> None:
         state = make_state()
         record_failed(state, "e0", NOW)
-        welcome_back(state, ["e0"])
+        clear_backoff(state, ["e0"])
         assert choose(state, tried=frozenset(["e2", "e4"])) == "e0"
 
     def test_loads_follow_own_attempts(self) -> None:
@@ -164,7 +164,7 @@
 
 class TestRetryBudget:
     def test_retries_are_a_share_of_requests(self) -> None:
-        """Failing endpoints would meet several times the load."""
+        """Guards against retries that multiply failing endpoints' load."""
         state = make_state()
         retries = 0
         for _ in range(1000):
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -24,7 +24,7 @@
     must_poll,
     usable_endpoints,
 )
-from mintsaddle.decisions.routing import RoutingState, record_sent, welcome_back
+from mintsaddle.decisions.routing import RoutingState, clear_backoff, record_sent
 from mintsaddle.direct._endpoint_limits import EndpointLimits
 from mintsaddle.direct._metrics import Metrics
 from mintsaddle.direct._pool import ConnectionPool
@@ -380,7 +380,9 @@
     def share_of(self, endpoints: Sequence[Incarnation]) -> EntryShare:
         """Return what this entry has at endpoints that take work."""
         with self._lock:
-            in_flight = sum(self._routing.view(one.name).sent for one in endpoints)
+            in_flight = sum(
+                self._routing.view(one.name).own_in_flight for one in endpoints
+            )
             return EntryShare(in_flight, len(endpoints), self._entries)
 
     def record_chosen(self, endpoint: Incarnation) -> None:
@@ -429,7 +431,7 @@
             self._groups.record_report(group, epoch, is_open, self.now(), step)
             if was_down and not self._groups.is_down(group):
                 # Its ranks failed for the group's sake.
-                welcome_back(self._routing, self._ranks_of(group))
+                clear_backoff(self._routing, self._ranks_of(group))
                 _log.info("Group regained %s.", fields(group=group, epoch=epoch))
             self._groups_changed.notify_all()
 
--- a/mintsaddle/direct/_maps.py
+++ b/mintsaddle/direct/_maps.py
@@ -12,7 +12,7 @@
     SwitchStage,
     begin_switch,
     choose_limits,
-    choose_samples,
+    choose_sampled_ranks,
     draw_version,
     make_first_map,
     watchdog_timeout,
@@ -117,7 +117,7 @@
         The duty passes on seconds later only, when callers have left.
         """
         reachable = self._ranks.reachable_ranks(group)
-        asked = choose_samples(sorted(reachable), WATCHED_RANKS)
+        asked = choose_sampled_ranks(sorted(reachable), WATCHED_RANKS)
         poll = self._ranks.poll(group, asked)
         report = poll.first_of(asked)
         stall = self._stalls.setdefault(group.name, StallWatch())
@@ -148,8 +148,8 @@
             watch.record_slowness(rank, one.slowness)
         for rank, counts in poll.counts.items():
             watch.record_counts(rank, counts)
-        watch.finish_counts(gateway.now())
-        if not watch.is_busy or not watch.is_in_force(report.version, gateway.now()):
+        watch.update_popularity(gateway.now())
+        if not watch.is_busy or not watch.can_plan_from(report.version, gateway.now()):
             return
         current = self._current_map(group, report)
         if current is None:
@@ -180,12 +180,12 @@
             reachable = self._ranks.reachable_ranks(group)
             numbers = group.model.layers * group.model.experts
             serving = [rank for rank in group.serving if rank in reachable]
-            counted = choose_samples(serving, max(1, AGENT_COUNTS // numbers))
+            counted = choose_sampled_ranks(serving, max(1, AGENT_COUNTS // numbers))
             return self._ranks.poll(group, reachable, counted)
         self._polls += 1
         first = self._polls * SLOWNESS_RANKS
         asked = {(first + offset) % ranks for offset in range(SLOWNESS_RANKS)}
-        counted = choose_samples(group.serving, SAMPLE_RANKS)
+        counted = choose_sampled_ranks(group.serving, SAMPLE_RANKS)
         return self._ranks.poll(group, asked | {group.serving[0], *counted}, counted)
 
     def _current_map(self, group: RankGroup, report: RankReport) -> ExpertMap | None:
--- a/mintsaddle/endpoint/_coordinator.py
+++ b/mintsaddle/endpoint/_coordinator.py
@@ -128,9 +128,9 @@
         tokens = sum(map(sum, self._counts.counts)) / group.layers / len(group.ranks)
         tokens_in_second = tokens * group.layers / group.step
         cost = PlanCost(
-            horizon=HORIZON_INTERVALS * group.interval / group.step,
-            weight=group.weight * tokens_in_second,
-            pause=group.pause * tokens_in_second,
+            horizon_steps=HORIZON_INTERVALS * group.interval / group.step,
+            move_cost=group.weight * tokens_in_second,
+            switch_cost=group.pause * tokens_in_second,
         )
         plan = functools.partial(
             plan_moves, self._make_ballot(), current, self._counts.counts, speeds, cost
--- a/mintsaddle/endpoint/_group_messages.py
+++ b/mintsaddle/endpoint/_group_messages.py
@@ -30,7 +30,7 @@
     """Return the message form of an order, with the slots to stage."""
     slots: Sequence[int] = ()
     if order.act is GroupAct.STAGE and wanted is not None:
-        slots = wanted.slots_of(order.rank)
+        slots = wanted.experts_of_rank(order.rank)
     return pb.GroupOrder(
         group=group,
         ballot=order.ballot,
--- a/mintsaddle/entry/_run.py
+++ b/mintsaddle/entry/_run.py
@@ -9,7 +9,7 @@
 
 from mintsaddle.daemon import DaemonNode, PeerService, start_server, wait_for_stop
 from mintsaddle.decisions.configuration import is_out
-from mintsaddle.decisions.routing import RoutingState, record_load, welcome_back
+from mintsaddle.decisions.routing import RoutingState, clear_backoff, record_load
 from mintsaddle.entry._calls import unknown_homes
 from mintsaddle.entry._http import EntryApp
 from mintsaddle.observe import make_logger
@@ -86,7 +86,7 @@
         if fleet is None:
             return
         now_out = {n for n in fleet.endpoints if configuration.marks.is_out(fleet, n)}
-        welcome_back(routing, out - now_out)
+        clear_backoff(routing, out - now_out)
         out.clear()
         out.update(now_out)
         if is_out(configuration, node.settings.vm):
