--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -69,9 +69,11 @@
     """Return the size of one message to a peer."""
     members = Membership("e-0", "10.0.0.1:80", [])
     for number in range(entries):
-        members.note(KnownEntry(f"edge-dk-east-a-{number}", "10.10.10.10:8080", 1.0))
+        members.record_entry(
+            KnownEntry(f"edge-dk-east-a-{number}", "10.10.10.10:8080", 1.0)
+        )
     hello = pb.EntryHello(vm="edge-dk-east-a-0", address="10.10.10.10:8080")
-    for entry in members.heard_last(1.0):
+    for entry in members.most_recent_entries(1.0):
         hello.entries.add(vm=entry.vm, address=entry.address, age=0.5)
     return hello.ByteSize()
 
--- a/fakes/lockstep/_entry.py
+++ b/fakes/lockstep/_entry.py
@@ -12,7 +12,7 @@
     DirectCall,
     GroupBeliefs,
     Incarnation,
-    RankPlace,
+    RankAssignment,
     Repeat,
     Route,
     RouteDeadlines,
@@ -42,8 +42,8 @@
     longest_pause=0.12,
     priority=1,
     destinations=(Destination("llm", 1.0),),
-    most_attempts=2,
-    is_open=True,
+    max_attempts=2,
+    allows_anonymous=True,
 )
 
 ChooseRank: TypeAlias = Callable[
@@ -86,7 +86,7 @@
         self._ranks = [
             Incarnation(f"r{rank}", "llm", "", "a", 6, False, 0.0, 1, place)
             for rank in range(ranks)
-            for place in [RankPlace(GROUP, 1, rank, ranks, True)]
+            for place in [RankAssignment(GROUP, 1, rank, ranks, True)]
         ]
 
     def record_open(self) -> None:
@@ -177,7 +177,7 @@
         if serving.call.began:
             # The stream breaks off; its caller comes back on its own.
             serving.leave()
-        elif serving.call.sends < ROUTE.most_attempts or not self._group.is_open:
+        elif serving.call.sends < ROUTE.max_attempts or not self._group.is_open:
             self._try(serving)
         else:
             self._refuse(serving, 0.5)
--- a/mintsaddle/decisions/direct/__init__.py
+++ b/mintsaddle/decisions/direct/__init__.py
@@ -11,25 +11,13 @@
     give_up,
     record_attempt,
 )
-from mintsaddle.decisions.direct._cold import ColdGate
+from mintsaddle.decisions.direct._cold import ColdStartLimiter
 from mintsaddle.decisions.direct._directory import (
     Directory,
     Incarnation,
-    RankPlace,
+    RankAssignment,
     usable_endpoints,
 )
-from mintsaddle.decisions.direct._facts import (
-    LAPSE_GRACE,
-    DataCentreBack,
-    DataCentreOut,
-    EndpointMoved,
-    EndpointPublished,
-    EndpointRemoved,
-    Fact,
-    TablePublished,
-    apply_facts,
-    drop_lapsed,
-)
 from mintsaddle.decisions.direct._first_map import EntryShare
 from mintsaddle.decisions.direct._groups import (
     GroupBeliefs,
@@ -39,7 +27,7 @@
 )
 from mintsaddle.decisions.direct._membership import (
     ALIVE_SECONDS,
-    MOST_TOLD,
+    MAX_GOSSIP_ENTRIES,
     SETTLE_SECONDS,
     KnownEntry,
     Membership,
@@ -51,8 +39,7 @@
     may_wait_for_room,
     prefer_quick_groups,
 )
-from mintsaddle.decisions.direct._paths import CHECKS as PATH_CHECKS
-from mintsaddle.decisions.direct._paths import PathBeliefs
+from mintsaddle.decisions.direct._paths import ENDPOINTS_PER_CHECK, ReachabilityTracker
 from mintsaddle.decisions.direct._placement import (
     MOST_PROBES,
     PROBES,
@@ -73,28 +60,40 @@
     PublishedItem,
     Replica,
 )
-from mintsaddle.decisions.direct._reuse import MOST_IDLE, keep_seconds
-from mintsaddle.decisions.direct._store_polling import StoreNews, StorePolling
+from mintsaddle.decisions.direct._reuse import MAX_IDLE_CONNECTIONS, idle_limit_seconds
+from mintsaddle.decisions.direct._store_polling import StorePolling, StoreResponse
 from mintsaddle.decisions.direct._table import (
     CallerLimits,
     Destination,
     DirectService,
-    ExpertModel,
+    ExpertLayout,
     KeyHolder,
     Repeat,
     Route,
     RoutingTable,
     StepModel,
-    bearable_pause,
     choose_service,
     match_route,
+    shortest_allowed_pause,
+)
+from mintsaddle.decisions.direct._updates import (
+    LAPSE_GRACE_SECONDS,
+    DataCentreEvacuated,
+    DataCentreReinstated,
+    DirectoryUpdate,
+    EndpointPublished,
+    EndpointRemoved,
+    EndpointReplaced,
+    TablePublished,
+    apply_updates,
+    drop_expired,
 )
 from mintsaddle.decisions.direct._upstream import (
     COALESCE_SHARE,
     RETRY_SHARE,
     STALE_SHARE,
     WATCH_SHARE,
-    Upstreams,
+    UpstreamSelector,
     must_poll,
 )
 from mintsaddle.decisions.direct._urgency import (
@@ -107,11 +106,11 @@
 
 __all__ = [
     "ALIVE_SECONDS",
-    "LAPSE_GRACE",
+    "LAPSE_GRACE_SECONDS",
     "LATE_URGENCY",
-    "MOST_IDLE",
+    "MAX_IDLE_CONNECTIONS",
     "MOST_PROBES",
-    "MOST_TOLD",
+    "MAX_GOSSIP_ENTRIES",
     "NEVER_RAN",
     "RETRY_SHARE",
     "SETTLE_SECONDS",
@@ -120,22 +119,22 @@
     "WATCH_SHARE",
     "COALESCE_SHARE",
     "CallerLimits",
-    "ColdGate",
-    "DataCentreBack",
-    "DataCentreOut",
+    "ColdStartLimiter",
+    "DataCentreReinstated",
+    "DataCentreEvacuated",
     "Destination",
     "DirectCall",
     "DirectService",
     "Directory",
     "Ending",
-    "EndpointMoved",
+    "EndpointReplaced",
     "EndpointPublished",
     "EngineLoad",
     "EndpointRemoved",
-    "ExpertModel",
+    "ExpertLayout",
     "EntryShare",
     "FIRST_URGENCY",
-    "Fact",
+    "DirectoryUpdate",
     "GiveUp",
     "GroupBeliefs",
     "GroupPaces",
@@ -143,13 +142,13 @@
     "KeyHolder",
     "KnownEntry",
     "Membership",
-    "PATH_CHECKS",
+    "ENDPOINTS_PER_CHECK",
     "PROBES",
-    "PathBeliefs",
+    "ReachabilityTracker",
     "PublishedItem",
     "Permit",
     "Position",
-    "RankPlace",
+    "RankAssignment",
     "RateGrants",
     "RateLimit",
     "RateLimits",
@@ -158,27 +157,27 @@
     "Route",
     "RouteDeadlines",
     "RoutingTable",
-    "StoreNews",
+    "StoreResponse",
     "StorePolling",
     "TablePublished",
     "TryAgain",
-    "Upstreams",
+    "UpstreamSelector",
     "admitting",
     "advise_retry",
-    "apply_facts",
+    "apply_updates",
     "attempt_until",
-    "bearable_pause",
+    "shortest_allowed_pause",
     "choose_by_load",
     "choose_incarnation",
     "choose_service",
     "choose_urgency",
     "decide_next",
-    "drop_lapsed",
+    "drop_expired",
     "give_up",
     "has_free_place",
     "hold_until",
     "is_late",
-    "keep_seconds",
+    "idle_limit_seconds",
     "match_route",
     "lead_each_group",
     "may_wait_for_room",
--- a/mintsaddle/decisions/direct/_calls.py
+++ b/mintsaddle/decisions/direct/_calls.py
@@ -102,7 +102,7 @@
     have run it and lost the answer. All others wait to their end: silence is
     no reason to give up what may be running.
     """
-    is_last = call.sends + 1 >= call.route.most_attempts
+    is_last = call.sends + 1 >= call.route.max_attempts
     if is_last or call.route.repeat is not Repeat.IDEMPOTENT:
         return call.deadline
     return now + (call.deadline - now) * SHARE_OF_FIRST
@@ -130,7 +130,7 @@
     """
     if now >= call.deadline:
         return give_up(call, Reason.TOO_LATE)
-    if call.sends >= call.route.most_attempts or not has_budget:
+    if call.sends >= call.route.max_attempts or not has_budget:
         return give_up(call, _REASONS[ending])
     if call.may_have_run and call.route.repeat is Repeat.ONCE:
         return give_up(call, _REASONS[ending])
--- a/mintsaddle/decisions/direct/_cold.py
+++ b/mintsaddle/decisions/direct/_cold.py
@@ -1,25 +1,25 @@
-"""How much a cold endpoint gets, without entries telling each other.
+"""Rate limit for cold endpoints, without coordination between entries.
 
-Load pattern: endpoints come back together after a data centre was out, empty
-and slow, and every entry finds them the least loaded. A cold endpoint bears a
-few requests a second and crashes well above that; the bound is over all
-entries, so each one keeps to its share of it.
+Load pattern: the endpoints of a data centre return to service together, idle
+and slow, and every entry considers them the least loaded. A cold endpoint can
+handle a few requests per second and crashes well above that rate. The limit
+applies to all entries together, so each one keeps to its share.
 """
 
 from mintsaddle.decisions.direct._directory import Incarnation
 from mintsaddle.decisions.direct._table import DirectService
 from mintsaddle.values import Instant
 
-_WINDOW = 1.0
-"""Seconds in which the platform counts what a cold endpoint gets."""
+_WINDOW_SECONDS = 1.0
+"""Window in which the platform counts requests to a cold endpoint."""
 
-_SAFETY = 0.8
-"""Share of the bound that is used: requests sent in one second may arrive in
-another one."""
+_SAFETY_FRACTION = 0.8
+"""Fraction of the limit that is used, because requests sent in one second may
+arrive in another one."""
 
 
-class ColdGate:
-    """What one entry has sent to cold endpoints lately."""
+class ColdStartLimiter:
+    """Limits the rate at which one entry sends to cold endpoints."""
 
     def __init__(self, factor: float, slack: float) -> None:
         self._factor = factor
@@ -33,22 +33,22 @@
 
         Args:
             endpoint: The endpoint.
-            service: What the table says of its service.
-            entries: Entries that may send to it.
-            now: The present instant.
+            service: The endpoint's service.
+            entries: Number of entries that may send to it.
+            now: The current time.
         """
         if service.cold_rate <= 0 or now >= endpoint.cold_until:
             return True
-        bound = service.cold_rate * self._factor + self._slack
-        share = bound * _SAFETY / max(1, entries)
-        # A share of less than one request a second is one in a longer window.
-        window = max(_WINDOW, _WINDOW / share)
+        limit = service.cold_rate * self._factor + self._slack
+        share = limit * _SAFETY_FRACTION / max(1, entries)
+        # A share below one request per window allows one per longer window.
+        window = max(_WINDOW_SECONDS, _WINDOW_SECONDS / share)
         recent = [at for at in self._sent.get(endpoint.name, ()) if now - at < window]
         self._sent[endpoint.name] = recent
         return len(recent) < max(1, int(share))
 
     def record_sent(self, endpoint: Incarnation, now: Instant) -> None:
-        """Count a request that is sent."""
+        """Count a sent request."""
         if now < endpoint.cold_until:
             self._sent.setdefault(endpoint.name, []).append(now)
         else:
--- a/mintsaddle/decisions/direct/_directory.py
+++ b/mintsaddle/decisions/direct/_directory.py
@@ -1,7 +1,7 @@
-"""What an entry believes of table, endpoints and data centres.
+"""The directory: an entry's view of routing table, endpoints and data centres.
 
-The directory is an immutable value: the threads that serve callers read it
-without a lock.
+A directory is immutable, so the threads that serve callers read it without a
+lock.
 """
 
 from collections.abc import Mapping
@@ -12,92 +12,97 @@
 from mintsaddle.values import Instant
 
 
-class RankPlace(NamedTuple):
-    """An engine's place in a group that runs in lock-step."""
+class RankAssignment(NamedTuple):
+    """An engine's rank in a group whose ranks run in lock-step."""
 
     group: str
     epoch: int
-    """Grows each time that the group forms anew."""
+    """Increases each time the group forms again."""
 
     rank: int
     size: int
-    """Ranks of the group."""
+    """Number of ranks in the group."""
 
     is_open: bool
-    """Whether the group takes work."""
+    """Whether the group accepts requests."""
 
 
 class Incarnation(NamedTuple):
-    """One run of an endpoint, as it announces itself."""
+    """One run of an endpoint process, as announced by the endpoint."""
 
     name: str
-    """Name of this run; a restart mostly draws a new one."""
+    """Name of this run; usually changes on restart."""
 
     service: str
     address: str
     data_centre: str
     slots: int
-    """Requests that it processes at one time."""
+    """Number of requests that it processes concurrently."""
 
     leaving: bool
+    """Whether it is shutting down and must get no new requests."""
+
     cold_until: Instant
-    """Until when it is slow after its start; 0 when it is warm."""
+    """When it stops being slow after a start; 0 if it is already warm."""
 
-    born: int
-    """When the run started, in Unix milliseconds; 0 when it isn't told."""
+    started_at_ms: int
+    """Start of the run in Unix milliseconds; 0 if unknown."""
 
-    place: RankPlace | None = None
-    """Its place in a rank group; None when it belongs to none."""
+    place: RankAssignment | None = None
+    """Its rank in a group; None if it belongs to no group."""
 
 
 class Removal(NamedTuple):
-    """A run of an endpoint that is known to be gone."""
+    """A run of an endpoint that has been removed."""
 
-    born: int
-    """When the run started, as it had announced."""
+    started_at_ms: int
+    """Announced start of the run in Unix milliseconds."""
 
     known_at: Instant
+    """When this entry learned of the removal."""
 
 
-class Withheld(NamedTuple):
-    """A removed run that a restored copy lists."""
+class WithheldRun(NamedTuple):
+    """A removed run that is listed again by a store restored from a backup."""
 
     incarnation: Incarnation
     until: Instant
-    """When it is used after all, if the platform still lists it."""
+    """When it becomes usable, if the platform still lists it by then."""
 
 
 class Directory(NamedTuple):
-    """Everything published that an entry acts on."""
+    """Everything published by the platform that an entry acts on."""
 
     table: RoutingTable | None = None
     endpoints: Mapping[str, Incarnation] = MappingProxyType({})
-    out: frozenset[str] = frozenset()
-    """Data centres that are taken out."""
+    """Endpoints in use, by name."""
+
+    evacuated: frozenset[str] = frozenset()
+    """Data centres that the operator has taken out of service."""
 
     lapsed: Mapping[str, Instant] = MappingProxyType({})
-    """Endpoints whose announcement is gone, and until when they are used."""
+    """Endpoints whose announcement expired, and until when they are used."""
 
     superseded: Mapping[str, Incarnation] = MappingProxyType({})
-    """Announced runs whose address another run has that started later."""
+    """Announced runs whose address is now used by a run that started later."""
 
-    returning: Mapping[str, Instant] = MappingProxyType({})
-    """Data centres whose mark a restored copy lacks, and until when they stay
-    out."""
+    pending_reinstatement: Mapping[str, Instant] = MappingProxyType({})
+    """Evacuated data centres that a restored store doesn't mark as such, and
+    until when they stay evacuated."""
 
     removed: Mapping[str, Removal] = MappingProxyType({})
-    """Endpoints that are gone, by name."""
+    """Removed endpoints, by name."""
 
-    withheld: Mapping[str, Withheld] = MappingProxyType({})
-    """Endpoints that a restored copy lists though they were gone, by name."""
+    withheld: Mapping[str, WithheldRun] = MappingProxyType({})
+    """Removed endpoints that a restored store lists again, by name."""
 
 
 def usable_endpoints(directory: Directory, service: str) -> tuple[Incarnation, ...]:
-    """Return the endpoints of a service that may get new work."""
+    """Return the endpoints of a service that may get new requests."""
     return tuple(
         incarnation
         for incarnation in directory.endpoints.values()
         if incarnation.service == service
         and not incarnation.leaving
-        and incarnation.data_centre not in directory.out
+        and incarnation.data_centre not in directory.evacuated
     )
--- a/mintsaddle/decisions/direct/_membership.py
+++ b/mintsaddle/decisions/direct/_membership.py
@@ -1,8 +1,11 @@
-"""Which entries are alive, by what peers tell each other.
+"""Gossip membership: which entries are alive.
 
-Load pattern: a few to some hundred entries that know three addresses at the
-start, of which all may be stale. Each one exchanges what it knows with a few
-others a second, so the messages of one entry don't grow with their number.
+Load pattern: from a few to several hundred entries, each configured with three
+seed addresses that may all be stale. Each entry exchanges its view with a few
+others per second, so the messages of one entry don't grow with their number.
+
+A duty is a task that one entry, its holder, manages for all. Entries choose
+the holder independently, by ranking the entries they believe to be alive.
 """
 
 import random
@@ -12,47 +15,47 @@
 from mintsaddle.values import Instant, rank_by_score
 
 ALIVE_SECONDS = 5.0
-"""Seconds without a word after which an entry counts as gone: five rounds."""
+"""Seconds of silence after which an entry counts as dead: five rounds."""
 
-DUTY_SECONDS = 2.5
-"""Seconds without a word after which an entry's duties pass to another one.
-A duty bears two entries that both manage it; nobody doing so is worse: a group
-that is held then stands still, and callers leave streams after 2 s."""
+DUTY_TIMEOUT_SECONDS = 2.5
+"""Seconds of silence after which an entry's duties pass to another one. Two
+concurrent holders are tolerated; having none is worse, because a held group
+then stands still, and callers abandon streams after 2 s."""
 
 SETTLE_SECONDS = 1.5
-"""Seconds of an entry's life before it takes up duties: by then five faster
-rounds have told it of the others. Guards against all entries that start
-together after a power cut taking themselves for the holder: two of them held
-steps of one group against each other, and it stood still for 2.6 s."""
+"""Seconds after its start before an entry takes up duties; five shorter rounds
+have told it of the others by then. Without this delay, all entries that start
+together after a power cut consider themselves the holder: two of them held
+back steps of the same group, which stood still for 2.6 s."""
 
-COUNT_SECONDS = 60.0
-"""Seconds for which an entry counts among those that share limits. With some
-hundred entries each one is heard of only now and then, and a count that is too
-small makes every share too large."""
+SHARE_COUNT_SECONDS = 60.0
+"""Seconds for which a silent entry still counts among those that share limits.
+Among several hundred entries each one is heard from rarely, and a count that
+is too small makes every share too large."""
 
-MOST_TOLD = 16
-"""Entries named in one message, those heard from last: 0.8 KB a message,
-however many entries there are."""
+MAX_GOSSIP_ENTRIES = 16
+"""Entries listed in one gossip message, the most recently heard from first;
+limits a message to 0.8 KB for any number of entries."""
 
-RELAY_SECONDS = 0.1
-"""Seconds that a message between two entries takes at most: what a peer heard
-of a third entry seems to be as much younger."""
+MAX_RELAY_SECONDS = 0.1
+"""Longest time of a message between two entries. What a peer heard from a
+third entry can appear more recent by this much."""
 
-WATCHERS = 3
-"""Successors for a duty that ask its holder in every round; however many
-entries there are, its holder answers no more than these."""
+MAX_WATCHERS = 3
+"""Successors for a duty that poll its holder in every round; bounds the load
+on the holder for any number of entries."""
 
-_LONG_AGO: Instant = float("-inf")
+_NEVER: Instant = float("-inf")
 
 FAN_OUT = 2
-"""Peers asked in each round; news reach 340 entries in about 8 rounds."""
+"""Peers contacted per round; news reaches 340 entries in about 8 rounds."""
 
 SEARCH_FAN_OUT = 4
-"""Peers asked in each round while the platform turns this entry away."""
+"""Peers contacted per round while the platform refuses this entry."""
 
 
 class KnownEntry(NamedTuple):
-    """One entry and when it was last heard from, by whomever."""
+    """An entry, and when it was last heard from by any entry."""
 
     vm: str
     address: str
@@ -61,14 +64,14 @@
 
 
 class Membership:
-    """What one entry knows of the others."""
+    """One entry's view of the other entries."""
 
     def __init__(
         self,
         vm: str,
         address: str,
         seeds: Iterable[str],
-        started_at: Instant = _LONG_AGO,
+        started_at: Instant = _NEVER,
     ) -> None:
         self._vm = vm
         self._address = address
@@ -80,24 +83,24 @@
 
     @property
     def vm(self) -> str:
-        """Name of the entry that knows this."""
+        """Name of the entry that owns this view."""
         return self._vm
 
     @property
     def address(self) -> str:
-        """Where peers reach it."""
+        """Address at which peers reach this entry."""
         return self._address
 
-    def note(self, entry: KnownEntry) -> None:
-        """Take over when an entry was heard from, if that is news.
+    def record_entry(self, entry: KnownEntry) -> None:
+        """Record when an entry was heard from, if that is more recent.
 
-        What peers heard of an entry before it said that it is leaving is none.
-        Guards against duties that stay with an entry that is stopping: told of
-        again by those who don't know it yet, it counted as their holder for
-        seconds, and nobody saw to them.
+        Ignores what peers heard from an entry before it said that it is
+        leaving. Otherwise peers that don't know of its leaving yet would
+        bring it back, and it would stay the holder of its duties for seconds
+        while nobody performs them.
         """
         if entry.vm == self._vm or entry.heard_at <= self._left_at.get(
-            entry.vm, _LONG_AGO
+            entry.vm, _NEVER
         ):
             return
         known = self._entries.get(entry.vm)
@@ -105,25 +108,25 @@
             self._entries[entry.vm] = entry
 
     def record_answer(self, address: str) -> None:
-        """Note that an entry has answered."""
+        """Record that an entry has answered."""
         self._suspects.discard(address)
 
-    def record_silence(self, address: str) -> None:
-        """Note that an entry didn't answer: its duties pass to another one."""
+    def record_timeout(self, address: str) -> None:
+        """Record that an entry didn't answer; its duties pass to another."""
         self._suspects.add(address)
 
     def data_centre_of(self, address: str) -> str:
-        """Return where an entry is; an empty string if it isn't known."""
-        known = (one for one in self._entries.values() if one.address == address)
-        return next((one.data_centre for one in known), "")
+        """Return an entry's data centre, or an empty string if unknown."""
+        known = (entry for entry in self._entries.values() if entry.address == address)
+        return next((entry.data_centre for entry in known), "")
 
     def remove(self, vm: str, now: Instant) -> None:
-        """Forget an entry that says that it is leaving."""
+        """Remove an entry that has announced that it is leaving."""
         self._entries.pop(vm, None)
-        self._left_at[vm] = now + RELAY_SECONDS
+        self._left_at[vm] = now + MAX_RELAY_SECONDS
 
     def alive(self, now: Instant) -> tuple[KnownEntry, ...]:
-        """Return the other entries that were heard from lately."""
+        """Return the other entries that were heard from recently."""
         return tuple(
             entry
             for entry in self._entries.values()
@@ -131,33 +134,33 @@
         )
 
     def reachable(self, now: Instant) -> tuple[KnownEntry, ...]:
-        """Return the other entries that are alive and answer this one."""
+        """Return the other entries that are alive and answer this entry."""
         return tuple(
             entry for entry in self.alive(now) if entry.address not in self._suspects
         )
 
     def is_settled(self, now: Instant) -> bool:
-        """Return whether this entry has had time to hear of the others."""
+        """Return whether this entry has had time to learn of the others."""
         return now >= self._settles_at
 
     def count(self, now: Instant) -> int:
-        """Return how many entries share limits, this one included."""
+        """Return how many entries share limits, including this one."""
         self._left_at = {
             vm: left_at
             for vm, left_at in self._left_at.items()
-            if now - left_at <= COUNT_SECONDS
+            if now - left_at <= SHARE_COUNT_SECONDS
         }
         self._entries = {
             vm: entry
             for vm, entry in self._entries.items()
-            if now - entry.heard_at <= COUNT_SECONDS
+            if now - entry.heard_at <= SHARE_COUNT_SECONDS
         }
         return 1 + len(self._entries)
 
-    def heard_last(self, now: Instant) -> list[KnownEntry]:
-        """Return the entries to tell peers of."""
+    def most_recent_entries(self, now: Instant) -> list[KnownEntry]:
+        """Return the entries to list in a gossip message."""
         by_age = sorted(self.alive(now), key=lambda entry: -entry.heard_at)
-        return by_age[:MOST_TOLD]
+        return by_age[:MAX_GOSSIP_ENTRIES]
 
     def choose_peers(
         self,
@@ -167,52 +170,53 @@
         *,
         is_searching: bool,
     ) -> tuple[str, ...]:
-        """Return the addresses to ask in this round.
+        """Return the addresses to contact in this round.
 
-        Seeds are asked while nobody is known, and one of them now and then, so
-        that two halves that were cut apart find each other again.
+        All seeds are contacted while no entry is known. Later each round
+        contacts one seed that isn't known to be alive, so that the two sides
+        of a healed partition find each other again.
         """
         addresses = [entry.address for entry in self.alive(now)]
-        strangers = [seed for seed in self._seeds if seed not in addresses]
+        unknown_seeds = [seed for seed in self._seeds if seed not in addresses]
         if not addresses:
-            return tuple(strangers)
+            return tuple(unknown_seeds)
         fan_out = SEARCH_FAN_OUT if is_searching else FAN_OUT
         chosen = set(rng.sample(addresses, min(fan_out, len(addresses))))
         chosen.update(self.holders_to_watch(duties, now))
-        if strangers:
-            chosen.add(rng.choice(strangers))
+        if unknown_seeds:
+            chosen.add(rng.choice(unknown_seeds))
         return tuple(chosen)
 
     def holders_to_watch(self, duties: Iterable[str], now: Instant) -> list[str]:
-        """Return the addresses of the holders that this entry would follow."""
+        """Return the addresses of holders that this entry may succeed."""
         addresses = {entry.vm: entry.address for entry in self.alive(now)}
         addresses[self._vm] = self._address
         watched = []
         for duty in duties:
             first, *others = rank_by_score(duty, addresses)
-            if self._vm in others[:WATCHERS]:
+            if self._vm in others[:MAX_WATCHERS]:
                 watched.append(addresses[first])
         return watched
 
-    def is_chosen(self, duty: str, now: Instant) -> bool:
-        """Return whether this entry is the one to manage a duty.
+    def is_holder(self, duty: str, now: Instant) -> bool:
+        """Return whether this entry is the holder of a duty.
 
-        Entries with different views may both think so: a duty has to bear
+        Entries with different views may both be: a duty has to tolerate
         that.
         """
-        return self.succession_place(duty, now) == 0
+        return self.succession_index(duty, now) == 0
 
-    def succession_place(self, duty: str, now: Instant) -> int | None:
-        """Return how many entries go before this one for a duty.
+    def succession_index(self, duty: str, now: Instant) -> int | None:
+        """Return the position of this entry in the succession for a duty.
 
         Returns:
-            0 for the one that manages it; None for an entry that is too young
-            to know the others.
+            0 for the holder; None if this entry started too recently to know
+            the others.
         """
         if not self.is_settled(now):
             return None
         names = [self._vm]
         for entry in self.reachable(now):
-            if now - entry.heard_at <= DUTY_SECONDS:
+            if now - entry.heard_at <= DUTY_TIMEOUT_SECONDS:
                 names.append(entry.vm)
         return rank_by_score(duty, names).index(self._vm)
--- a/mintsaddle/decisions/direct/_paths.py
+++ b/mintsaddle/decisions/direct/_paths.py
@@ -1,115 +1,116 @@
-"""Which data centres an entry reaches.
-
-Load pattern: a data centre is cut off from the others, and callers still reach
-its entries. Each request that has to leave it tries one endpoint after the
-other, each for as long as a connection may take, until its caller gives up,
-though all of them are behind the same cut. So what fails on the way counts for
-the whole data centre, once some connections of its own have confirmed it.
+"""Reachability of data centres from one entry.
+
+Load pattern: a data centre is partitioned from the others, while callers still
+reach its entries. Each request to another data centre would try one endpoint
+after the other, each until its connection times out, until the caller gives
+up, although all of them are behind the same partition. So failures to reach
+endpoints count for their whole data centre, once separate test connections
+have confirmed them.
 """
 
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
 
 SUSPECT_MISSES = 3
-"""Missing answers in a row after which a path is checked: single datagrams and
-endpoints are lost without a cut."""
+"""Consecutive missing responses after which a path is checked; some datagrams
+and endpoints are also lost without a partition."""
 
-CHECKS = 2
-"""Endpoints of a data centre that are connected to in one check."""
+ENDPOINTS_PER_CHECK = 2
+"""Endpoints of a data centre that one check connects to."""
 
 
-class _Path(NamedTuple):
+class _PathState(NamedTuple):
     misses: int = 0
-    """Answers that didn't come since the last one that came."""
+    """Responses missing since the last received one."""
 
-    is_cut: bool = False
+    is_unreachable: bool = False
 
 
-class PathBeliefs:
-    """What one entry knows of its paths to other data centres."""
+class ReachabilityTracker:
+    """Tracks which data centres one entry can reach."""
 
     def __init__(self, data_centre: str) -> None:
-        self._own = data_centre
-        self._paths: dict[str, _Path] = {}
+        self._own_data_centre = data_centre
+        self._paths: dict[str, _PathState] = {}
         self._is_platform_reached = True
 
     def record_answer(self, data_centre: str) -> None:
-        """Note that something came from a data centre."""
+        """Record that a response came from a data centre."""
         self._paths.pop(data_centre, None)
 
     def record_miss(self, data_centre: str, weight: int = 1) -> bool:
-        """Note that something didn't come.
+        """Record that a response is missing.
 
         Args:
-            data_centre: Where it should have come from.
-            weight: How many lost datagrams it speaks for.
+            data_centre: The data centre that it was expected from.
+            weight: Number of lost datagrams that it counts as.
 
         Returns:
-            Whether the path has to be checked.
+            Whether the path must be checked.
         """
-        if data_centre in ("", self._own):
+        if data_centre in ("", self._own_data_centre):
             return False
-        path = self._paths.get(data_centre, _Path())
+        path = self._paths.get(data_centre, _PathState())
         self._paths[data_centre] = path._replace(misses=path.misses + weight)
         return path.misses + weight >= SUSPECT_MISSES
 
     def record_check(
         self, data_centre: str, data_centres: Iterable[str], *, reached: bool
     ) -> bool:
-        """Note whether endpoints of a data centre took a connection.
+        """Record whether endpoints of a data centre accepted a connection.
 
-        One cut puts all paths in doubt: it may be the entry's own data centre
-        that is cut off.
+        An unreachable data centre makes all paths suspect, because the entry's
+        own data centre may be the one that is cut off.
 
         Args:
             data_centre: The data centre.
-            data_centres: All that have endpoints.
-            reached: Whether one of its endpoints took a connection.
+            data_centres: All data centres that have endpoints.
+            reached: Whether one of its endpoints accepted a connection.
 
         Returns:
-            Whether that changes what is believed.
+            Whether its reachability changed.
         """
-        path = self._paths.get(data_centre, _Path())
+        path = self._paths.get(data_centre, _PathState())
         if reached:
             self._paths.pop(data_centre, None)
-            return path.is_cut
-        self._paths[data_centre] = path._replace(is_cut=True)
-        if not path.is_cut:
+            return path.is_unreachable
+        self._paths[data_centre] = path._replace(is_unreachable=True)
+        if not path.is_unreachable:
             for other in data_centres:
                 self.record_miss(other, SUSPECT_MISSES)
-        return not path.is_cut
+        return not path.is_unreachable
 
     def record_platform(self, *, reached: bool) -> None:
-        """Note whether the platform took a connection."""
+        """Record whether the platform accepted a connection."""
         self._is_platform_reached = reached
 
     def to_check(self) -> tuple[str, ...]:
-        """Return the data centres whose paths are in doubt or cut."""
+        """Return the data centres that are suspect or unreachable."""
         return tuple(
             name
             for name, path in self._paths.items()
-            if path.is_cut or path.misses >= SUSPECT_MISSES
+            if path.is_unreachable or path.misses >= SUSPECT_MISSES
         )
 
-    def is_cut(self, data_centre: str) -> bool:
-        """Return whether endpoints of a data centre can't be reached."""
+    def is_unreachable(self, data_centre: str) -> bool:
+        """Return whether a data centre is unreachable."""
         path = self._paths.get(data_centre)
-        return path is not None and path.is_cut
+        return path is not None and path.is_unreachable
 
-    def cut_data_centres(self) -> list[str]:
-        """Return all data centres whose endpoints can't be reached."""
-        return [name for name, path in self._paths.items() if path.is_cut]
+    def unreachable_data_centres(self) -> list[str]:
+        """Return all unreachable data centres."""
+        return [name for name, path in self._paths.items() if path.is_unreachable]
 
     def is_isolated(self, data_centres: Collection[str]) -> bool:
         """Return whether this entry's data centre is the one that is cut off.
 
-        Guards against the last data centre that lives taking itself for cut
-        off: it still reaches the platform.
+        The last data centre in operation also reaches no other one, but still
+        reaches the platform, and so isn't considered isolated.
 
         Args:
-            data_centres: All that have endpoints.
+            data_centres: All data centres that have endpoints.
         """
-        others = [one for one in data_centres if one != self._own]
+        others = [name for name in data_centres if name != self._own_data_centre]
         if not others or self._is_platform_reached:
             return False
-        return all(self.is_cut(one) for one in others)
+        return all(self.is_unreachable(name) for name in others)
--- a/mintsaddle/decisions/direct/_reuse.py
+++ b/mintsaddle/decisions/direct/_reuse.py
@@ -1,28 +1,28 @@
-"""How long a connection to an endpoint may be kept for the next request.
+"""How long an idle connection to an endpoint may be reused.
 
-Load pattern: each entry sends some requests a second to each of a dozen
-endpoints, and each new connection costs an endpoint a while of a place.
+Load pattern: each entry sends a few requests per second to each of a dozen
+endpoints, and each new connection occupies a slot of the endpoint for a while.
 """
 
 IDLE_MARGIN_SECONDS = 0.5
-"""Seconds before the endpoint's own end of an idle connection from which it
-isn't used: what is sent as the endpoint closes it is reset."""
+"""Time before the endpoint's idle timeout when reuse of a connection ends; a
+request sent while the endpoint closes it would be reset."""
 
 UNKNOWN_IDLE_SECONDS = 2.0
-"""Seconds for a connection whose endpoint doesn't say how long it keeps it."""
+"""Idle limit if the endpoint doesn't announce its idle timeout."""
 
-MOST_IDLE = 4
-"""Idle connections to one endpoint: together with those of other entries far
-fewer than an endpoint takes."""
+MAX_IDLE_CONNECTIONS = 4
+"""Idle connections per endpoint; together with those of other entries far
+fewer than an endpoint accepts."""
 
 
-def keep_seconds(told: float | None) -> float:
-    """Return for how long a connection may stay idle; 0 if it must not.
+def idle_limit_seconds(announced_seconds: float | None) -> float:
+    """Return how long a connection may stay idle; 0 if it must not be reused.
 
     Args:
-        told: Seconds after which the endpoint says that it closes it; 0 if it
-            closes it at once, None if it doesn't say.
+        announced_seconds: Idle timeout announced by the endpoint; 0 if it
+            closes the connection at once, None if it doesn't announce one.
     """
-    if told is None:
+    if announced_seconds is None:
         return UNKNOWN_IDLE_SECONDS
-    return max(0.0, told - IDLE_MARGIN_SECONDS)
+    return max(0.0, announced_seconds - IDLE_MARGIN_SECONDS)
--- a/mintsaddle/decisions/direct/_store_polling.py
+++ b/mintsaddle/decisions/direct/_store_polling.py
@@ -1,10 +1,10 @@
-"""What an entry asks the platform's store, and where an answer leads to.
+"""Polling of the platform's store, and the position that a response leads to.
 
-Load pattern: the store is away for a moment, loses its history, or comes back
-from an older copy and gives revisions out again. A watch that goes on from a
-revision of before then passes over changes, so a complete reading has to come
-first. Most stores name their era in each answer; of others an absence is the
-only sign, and only a reading shows whether they were restored meanwhile.
+Load pattern: the store is briefly unavailable, loses its history, or is
+restored from a backup and assigns revisions again. A watch that continues from
+a revision before the restore would skip changes, so a full read must come
+first. Most stores name their era in each response. For the others an outage is
+the only sign, and only a full read shows whether they were restored.
 """
 
 from typing import NamedTuple
@@ -12,72 +12,78 @@
 from mintsaddle.decisions.direct._replica import Position, PublishedItem, Replica
 
 
-class StoreNews(NamedTuple):
-    """One current answer of the store."""
+class StoreResponse(NamedTuple):
+    """One current response of the store."""
 
     items: tuple[PublishedItem, ...]
     revision: int
-    """Revision up to which nothing is missing."""
+    """Revision up to which the response is complete."""
 
     era: int | None
-    """How often the store came back from an older copy; None if it doesn't
-    say."""
+    """How often the store was restored from a backup; None if it doesn't
+    report that."""
 
 
 class StorePolling:
-    """What one entry knows of its calls to the store."""
+    """State of one entry's polling of the store."""
 
     def __init__(self) -> None:
-        self._must_read = False
+        self._needs_full_read = False
         self._names_era = False
 
     @property
-    def must_read(self) -> bool:
-        """Whether a complete reading has to come before the next watch."""
-        return self._must_read
+    def needs_full_read(self) -> bool:
+        """Whether a full read must come before the next watch."""
+        return self._needs_full_read
 
     def record_history_gone(self) -> None:
-        """Note that the store can't tell what changed since."""
-        self._must_read = True
+        """Record that the store no longer has the requested history."""
+        self._needs_full_read = True
 
     def record_gap(self) -> None:
-        """Note that the store failed, or wasn't asked for a while."""
-        self._must_read = self._must_read or not self._names_era
-
-    def place(
-        self, replica: Replica, asked: Position, news: StoreNews, *, is_reading: bool
+        """Record that the store failed, or wasn't polled for a while."""
+        self._needs_full_read = self._needs_full_read or not self._names_era
+
+    def resolve_position(
+        self,
+        replica: Replica,
+        asked: Position,
+        response: StoreResponse,
+        *,
+        is_full_read: bool,
     ) -> Position | None:
-        """Return where an answer leads to.
+        """Return the position that a response leads to.
 
         Args:
-            replica: The copy, which peers may have advanced meanwhile.
-            asked: Where the copy stood when the store was asked.
-            news: The answer.
-            is_reading: Whether it is a complete reading, else a watch.
+            replica: The replica, which peers may have advanced meanwhile.
+            asked: Position of the replica when the store was polled.
+            response: The response.
+            is_full_read: Whether it answers a full read rather than a watch.
 
         Returns:
-            The position to take the answer over with; None if it follows on
-            what this entry doesn't know, so that it has to read first.
+            The position to apply the response with; None if the response
+            builds on state that this entry lacks, so that a full read must
+            come first.
         """
-        self._names_era = news.era is not None
-        # A first reading may be an old one, which contradicts nothing.
-        is_current_reading = is_reading and asked.revision > 0
-        is_restored = is_current_reading and replica.is_contradicted(
-            news.items, asked, news.revision
+        self._names_era = response.era is not None
+        # The first full read may be outdated, but has nothing to contradict.
+        is_comparable_read = is_full_read and asked.revision > 0
+        is_restored = is_comparable_read and replica.is_contradicted(
+            response.items, asked, response.revision
         )
-        era = find_era(asked, news.era, is_restored=is_restored)
-        self._must_read = era != asked.era and not is_reading
-        return None if self._must_read else Position(era, news.revision)
+        era = find_era(asked, response.era, is_restored=is_restored)
+        self._needs_full_read = era != asked.era and not is_full_read
+        return None if self._needs_full_read else Position(era, response.revision)
 
 
 def find_era(asked: Position, named: int | None, *, is_restored: bool) -> int:
-    """Return the era of a current answer of the store.
+    """Return the era of a current response of the store.
 
     Args:
-        asked: Where the copy stood when the store was asked.
+        asked: Position of the replica when the store was polled.
         named: The era that the store names; None if it names none.
-        is_restored: Whether the answer shows by itself that the store came
-            back from an older copy since.
+        is_restored: Whether the content of the response shows that the store
+            was restored from a backup since.
     """
     if named is not None and named >= asked.era:
         return named
--- a/mintsaddle/decisions/direct/_table.py
+++ b/mintsaddle/decisions/direct/_table.py
@@ -1,4 +1,4 @@
-"""The routing table: which request goes to which service, and for whom."""
+"""The routing table: maps requests to services, and API keys to workspaces."""
 
 import enum
 from collections.abc import Mapping
@@ -8,13 +8,13 @@
 
 
 class Repeat(enum.Enum):
-    """Whether a request may be sent to a second endpoint."""
+    """Whether a request may be retried on another endpoint."""
 
     IDEMPOTENT = "idempotent"
     """It may run more than once."""
 
     RESUMABLE = "resumable"
-    """A stream that another endpoint can go on with after a given event."""
+    """A stream that another endpoint can resume after a given event."""
 
     ONCE = "once"
     """It may run at most once."""
@@ -25,11 +25,11 @@
 
     service: str
     weight: float
-    """Share of the route's requests, in any unit; never 0."""
+    """Relative share of the route's requests; never 0."""
 
 
 class Route(NamedTuple):
-    """Requests to one host whose path begins with one prefix."""
+    """Rules for requests to one host whose path starts with a prefix."""
 
     name: str
     host: str
@@ -37,123 +37,123 @@
     repeat: Repeat
     is_stream: bool
     timeout: float
-    """Seconds for which the operator lets a caller wait."""
+    """Longest time that a caller waits, in seconds."""
 
     objective: float
-    """Seconds within which an answer, or its first event, is on time."""
+    """Seconds within which a response, or its first event, is on time."""
 
     longest_pause: float
-    """Seconds between two events of a stream that is still on time."""
+    """Longest pause in seconds between events of a stream that is on time."""
 
     priority: int
-    """Rank under load; 0 is the most urgent."""
+    """Priority under load; 0 is the most urgent."""
 
     destinations: tuple[Destination, ...]
-    most_attempts: int
-    """Endpoints that may be asked for one request."""
+    max_attempts: int
+    """Endpoints that one request may be sent to."""
 
-    is_open: bool
-    """Whether callers need no key."""
+    allows_anonymous: bool
+    """Whether callers need no API key."""
 
 
-class ExpertModel(NamedTuple):
-    """How the experts of a service's engines are laid out."""
+class ExpertLayout(NamedTuple):
+    """Expert layout of a service's engines."""
 
     layers: int
     experts: int
-    """Experts of a layer."""
+    """Experts per layer."""
 
     places: int
-    """Experts of a layer that one rank can hold."""
+    """Experts per layer that one rank can hold."""
 
     new_places: int
-    """Experts of a layer that one rank can load for one map."""
+    """Experts per layer that one rank can load for one map change."""
 
     load_seconds: float
-    """Seconds that a rank takes to load one expert; 0 when it isn't told."""
+    """Seconds that a rank takes to load one expert; 0 if not specified."""
 
 
 class StepModel(NamedTuple):
-    """How long an engine's steps take, as its operator publishes it."""
+    """Duration of an engine's steps, as published by its operator."""
 
     token_seconds: float
-    """Seconds of a token step without any request."""
+    """Seconds of a token step without requests."""
 
     request_seconds: float
-    """Seconds that each request adds, with a context of usual size."""
+    """Seconds that each request adds, with a context of typical length."""
 
     tokens: int
-    """Token steps in one step of the group."""
+    """Token steps per step of the group."""
 
     def step_seconds(self, requests: int) -> float:
-        """Return how long a step takes while all experts get equal work."""
+        """Return the duration of a step with equal load on all experts."""
         return self.tokens * (self.token_seconds + self.request_seconds * requests)
 
 
 class DirectService(NamedTuple):
-    """A service whose endpoints an entry calls itself."""
+    """A service whose endpoints an entry calls directly."""
 
     name: str
     health_path: str
-    most_connections: int
-    """Connections that one endpoint takes from all callers together."""
+    max_connections: int
+    """Connections that one endpoint accepts from all callers in total."""
 
     cold_rate: float
-    """Requests a second that a cold endpoint bears; 0 when it has no limit."""
+    """Requests per second that a cold endpoint can handle; 0 for no limit."""
 
     is_engine: bool
-    """Whether it is a model engine."""
+    """Whether its endpoints are model engines."""
 
     cold_seconds: float = 0.0
-    """Seconds for which an endpoint is cold after its start."""
+    """How long an endpoint is cold after its start, in seconds."""
 
-    experts: ExpertModel | None = None
-    """Layout of its experts; None when it has none."""
+    experts: ExpertLayout | None = None
+    """Its expert layout; None if it has no experts."""
 
     steps: StepModel | None = None
-    """How long its engines' steps take; None when it isn't told."""
+    """Step durations of its engines; None if not specified."""
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and timing of callers' requests."""
 
     header_bytes: int
     body_bytes: int
     header_seconds: float
-    """Seconds within which a request's head has to be complete."""
+    """Seconds within which a request's header section must be complete."""
 
     idle_seconds: float
-    """Seconds for which an idle connection is kept open."""
+    """How long an idle connection is kept open, in seconds."""
 
 
 class KeyHolder(NamedTuple):
-    """The workspace that an API key names."""
+    """The workspace that an API key belongs to."""
 
     workspace: str
     priority: int | None
-    """Rank that goes before the route's; None when the route's holds."""
+    """Overrides the route's priority; None to use that of the route."""
 
 
 class RoutingTable(NamedTuple):
-    """One version of the configuration that has passed its check."""
+    """One validated version of the configuration."""
 
     version: int
     hosts: Mapping[str, tuple[Route, ...]]
-    """Routes by host in lower case, the longest prefix first."""
+    """Routes by lower-case host name, longest prefix first."""
 
     services: Mapping[str, DirectService]
     limits: CallerLimits
     keys: Mapping[str, KeyHolder] | None
-    """Workspaces by API key; None when callers need no keys at all."""
+    """Workspaces by API key; None if API keys aren't used at all."""
 
 
 def match_route(table: RoutingTable, host: str, path: str) -> Route | None:
-    """Return the route with the longest matching prefix, if there is one.
+    """Return the route with the longest matching prefix, if any.
 
     Args:
-        table: The table in force.
+        table: The active routing table.
         host: The ``Host`` header; a port is ignored.
-        path: The raw path without its query.
+        path: The raw path without the query string.
     """
     name = host.rpartition(":")[0] if ":" in host else host
     for route in table.hosts.get(name.lower(), ()):
@@ -163,10 +163,10 @@
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Return a destination by weight, the same one for the same request.
+    """Choose a destination by weight, always the same one for a request.
 
-    The hash of the request's id stands for a random draw: no state is needed,
-    and a log line can be checked afterwards.
+    The hash of the request ID replaces a random number: it needs no state, and
+    the choice can be reproduced from a log line.
     """
     total = sum(destination.weight for destination in route.destinations)
     point = stable_hash(request_id) / 2**64 * total
@@ -177,16 +177,16 @@
     return route.destinations[-1].service
 
 
-def bearable_pause(table: RoutingTable, service: str) -> float:
-    """Return the shortest pause that a route to a service bears.
+def shortest_allowed_pause(table: RoutingTable, service: str) -> float:
+    """Return the shortest ``longest_pause`` of all routes to a service.
 
     Returns:
-        Seconds; 0 if no such route names a pause.
+        The pause in seconds; 0 if no such route specifies one.
     """
     pauses = [
         route.longest_pause
         for routes in table.hosts.values()
         for route in routes
-        if any(one.service == service for one in route.destinations)
+        if any(target.service == service for target in route.destinations)
     ]
     return min((pause for pause in pauses if pause > 0), default=0.0)
--- a/mintsaddle/decisions/direct/tests/samples.py
+++ b/mintsaddle/decisions/direct/tests/samples.py
@@ -13,6 +13,6 @@
     longest_pause=0.12,
     priority=1,
     destinations=(Destination("desk", 1.0),),
-    most_attempts=2,
-    is_open=False,
+    max_attempts=2,
+    allows_anonymous=False,
 )
--- a/mintsaddle/decisions/direct/tests/test_direct.py
+++ b/mintsaddle/decisions/direct/tests/test_direct.py
@@ -1,4 +1,4 @@
-"""Decisions of direct delivery, one class a subject."""
+"""Decisions of direct delivery, one test class per subject."""
 
 import random
 
@@ -6,20 +6,20 @@
 
 from mintsaddle.decisions.direct import (
     ALIVE_SECONDS,
-    MOST_TOLD,
+    MAX_GOSSIP_ENTRIES,
     SETTLE_SECONDS,
     CallerLimits,
-    ColdGate,
-    DataCentreBack,
-    DataCentreOut,
+    ColdStartLimiter,
+    DataCentreEvacuated,
+    DataCentreReinstated,
     Destination,
     DirectCall,
     Directory,
     DirectService,
     Ending,
-    EndpointMoved,
     EndpointPublished,
     EndpointRemoved,
+    EndpointReplaced,
     GiveUp,
     GroupBeliefs,
     Incarnation,
@@ -27,19 +27,19 @@
     Membership,
     Position,
     PublishedItem,
-    RankPlace,
+    RankAssignment,
     Repeat,
     Replica,
     RoutingTable,
     TablePublished,
     TryAgain,
     advise_retry,
-    apply_facts,
+    apply_updates,
     attempt_until,
     choose_incarnation,
     choose_service,
     decide_next,
-    drop_lapsed,
+    drop_expired,
     hold_until,
     place_at,
     record_attempt,
@@ -51,13 +51,13 @@
 
 
 def make_call(repeat: Repeat = Repeat.IDEMPOTENT, attempts: int = 2) -> DirectCall:
-    route = ROUTE._replace(repeat=repeat, most_attempts=attempts)
+    route = ROUTE._replace(repeat=repeat, max_attempts=attempts)
     return DirectCall("id", route, "desk", "north", arrived_at=0.0, deadline=8.0)
 
 
 def make_endpoint(name: str, **other: object) -> Incarnation:
-    plain = Incarnation(name, "desk", f"{name}:1", "a", 6, False, 0.0, 1)
-    return plain._replace(**other)  # type: ignore[arg-type]
+    base = Incarnation(name, "desk", f"{name}:1", "a", 6, False, 0.0, 1)
+    return base._replace(**other)  # type: ignore[arg-type]
 
 
 class TestCalls:
@@ -85,7 +85,7 @@
         assert decision.outcome is Outcome.IN_DOUBT
 
     def test_a_later_refusal_does_not_undo_the_doubt(self) -> None:
-        """Guards against «not run» for an order that may have run."""
+        """Guards against reporting «not run» for a call that may have run."""
         call = record_attempt(make_call(), "e-1", Ending.BROKEN)
         call = record_attempt(call, "e-2", Ending.NOT_RUN)
         decision = decide_next(call, Ending.NOT_RUN, has_budget=True, now=1.0)
@@ -93,7 +93,7 @@
         assert decision.outcome is Outcome.IN_DOUBT
 
     def test_what_reached_another_run_is_tried_as_if_for_the_first_time(self) -> None:
-        """Guards against refusals while runs that ended are still listed."""
+        """Guards against refused calls while ended runs are still listed."""
         call = make_call(Repeat.ONCE, attempts=1)
         for name in ("e-1", "e-2", "e-3"):
             call = record_attempt(call, name, Ending.MISDIRECTED)
@@ -107,8 +107,8 @@
             assert isinstance(decision, GiveUp)
             assert decision.outcome is Outcome.NOT_RUN
 
-    def test_a_lost_group_is_not_called_full(self) -> None:
-        """Guards against callers that come back to a group that is away."""
+    def test_a_group_that_is_down_is_not_reported_as_full(self) -> None:
+        """Guards against callers that retry too early on a lost group."""
         call = record_attempt(make_call(), "e-1", Ending.GROUP_DOWN)
         decision = decide_next(call, Ending.GROUP_DOWN, has_budget=False, now=1.0)
         assert decision == GiveUp(Outcome.NOT_RUN, Reason.GROUP_DOWN)
@@ -129,43 +129,43 @@
 class TestDirectory:
     def test_a_data_centre_that_is_out_has_no_usable_endpoints(self) -> None:
         published = EndpointPublished(make_endpoint("e-1"))
-        directory = apply_facts(Directory(), [published], 0.0, 1.0)
-        directory = apply_facts(directory, [DataCentreOut("a")], 0.0, 1.0)
+        directory = apply_updates(Directory(), [published], 0.0, 1.0)
+        directory = apply_updates(directory, [DataCentreEvacuated("a")], 0.0, 1.0)
         assert usable_endpoints(directory, "desk") == ()
-        directory = apply_facts(directory, [DataCentreBack("a")], 0.0, 1.0)
-        assert [one.name for one in usable_endpoints(directory, "desk")] == ["e-1"]
+        directory = apply_updates(directory, [DataCentreReinstated("a")], 0.0, 1.0)
+        assert [run.name for run in usable_endpoints(directory, "desk")] == ["e-1"]
 
     def test_lapsed_endpoints_are_used_for_their_grace_only(self) -> None:
-        """Guards against lost endpoints while the store was away."""
+        """Guards against losing endpoints during an outage of the store."""
         published = EndpointPublished(make_endpoint("e-1"))
-        known = apply_facts(Directory(), [published], 0.0, 1.0)
-        lapsed = apply_facts(known, [EndpointRemoved("e-1")], 3.0, 1.0)
+        known = apply_updates(Directory(), [published], 0.0, 1.0)
+        lapsed = apply_updates(known, [EndpointRemoved("e-1")], 3.0, 1.0)
         assert len(usable_endpoints(lapsed, "desk")) == 1
-        assert usable_endpoints(drop_lapsed(lapsed, 3.0), "desk") == ()
-        back = apply_facts(lapsed, [published], 3.0, 2.0)
-        assert len(usable_endpoints(drop_lapsed(back, 3.0), "desk")) == 1
+        assert usable_endpoints(drop_expired(lapsed, 3.0), "desk") == ()
+        back = apply_updates(lapsed, [published], 3.0, 2.0)
+        assert len(usable_endpoints(drop_expired(back, 3.0), "desk")) == 1
 
     def test_a_leaving_endpoint_gets_no_grace(self) -> None:
         leaving = EndpointPublished(make_endpoint("e-1", leaving=True))
-        known = apply_facts(Directory(), [leaving], 0.0, 1.0)
-        gone = apply_facts(known, [EndpointRemoved("e-1")], 3.0, 1.0)
-        assert dict(gone.endpoints) == {}
-
-    def test_a_run_that_crashed_gets_nothing_beside_its_successor(self) -> None:
-        """Guards against requests to what had an address before a restart."""
-        old = make_endpoint("e-1", address="ip:1", born=1_000)
-        new = make_endpoint("e-2", address="ip:1", born=2_000)
-        for facts in ([old, new], [new, old]):
-            published = [EndpointPublished(one) for one in facts]
-            directory = apply_facts(Directory(), published, 0.0, 1.0)
+        known = apply_updates(Directory(), [leaving], 0.0, 1.0)
+        removed = apply_updates(known, [EndpointRemoved("e-1")], 3.0, 1.0)
+        assert dict(removed.endpoints) == {}
+
+    def test_a_crashed_run_is_unused_once_its_successor_is_announced(self) -> None:
+        """Guards against requests to the previous run at a reused address."""
+        old = make_endpoint("e-1", address="ip:1", started_at_ms=1_000)
+        new = make_endpoint("e-2", address="ip:1", started_at_ms=2_000)
+        for runs in ([old, new], [new, old]):
+            published = [EndpointPublished(run) for run in runs]
+            directory = apply_updates(Directory(), published, 0.0, 1.0)
             assert usable_endpoints(directory, "desk") == (new,)
 
-    def test_what_has_moved_gets_nothing_until_it_announces_itself(self) -> None:
+    def test_a_replaced_run_is_unused_until_it_announces_itself(self) -> None:
         published = EndpointPublished(make_endpoint("e-1"))
-        known = apply_facts(Directory(), [published], 0.0, 1.0)
-        moved = apply_facts(known, [EndpointMoved("e-1")], 9.0, 1.0)
-        assert usable_endpoints(moved, "desk") == ()
-        back = apply_facts(moved, [published], 0.0, 2.0)
+        known = apply_updates(Directory(), [published], 0.0, 1.0)
+        replaced = apply_updates(known, [EndpointReplaced("e-1")], 9.0, 1.0)
+        assert usable_endpoints(replaced, "desk") == ()
+        back = apply_updates(replaced, [published], 0.0, 2.0)
         assert len(usable_endpoints(back, "desk")) == 1
 
 
@@ -174,15 +174,15 @@
 
 
 class TestReplica:
-    def test_older_news_change_nothing_whoever_brings_them(self) -> None:
-        """Guards against an announcement relayed after its removal."""
+    def test_older_changes_from_any_source_are_ignored(self) -> None:
+        """Guards against an old announcement relayed after its removal."""
         replica = Replica("p/")
         replica.merge([PublishedItem("p/1", 5, b"old")], at(5))
         replica.merge([PublishedItem("p/1", 7, None)], at(7))
         assert replica.merge([PublishedItem("p/1", 5, b"old")], at(6)) == []
         assert replica.position == at(7)
 
-    def test_a_complete_reading_removes_what_it_lacks(self) -> None:
+    def test_a_snapshot_removes_keys_that_it_lacks(self) -> None:
         replica = Replica("p/")
         replica.merge(
             [PublishedItem("p/1", 5, b"x"), PublishedItem("p/2", 6, b"y")], at(6)
@@ -198,100 +198,102 @@
         replica.merge([PublishedItem("p/1", 8, None)], at(8))
         assert replica.changes_since(at(6)) == [PublishedItem("p/1", 8, None)]
 
-    def test_a_late_reading_brings_no_removed_key_back(self) -> None:
-        """Guards against an answer that arrives after newer news."""
+    def test_a_late_snapshot_does_not_restore_a_removed_key(self) -> None:
+        """Guards against a store response that arrives after newer updates."""
         replica = Replica("p/")
         replica.replace([], at(9))
         assert replica.replace([PublishedItem("p/1", 5, b"x")], at(7)) == []
 
-    def test_a_peer_hears_of_removals_that_the_teller_never_saw(self) -> None:
-        """Guards against a removal lost between two copies."""
+    def test_a_peer_learns_of_removals_that_the_sender_never_saw(self) -> None:
+        """Guards against losing removals that the relaying entry never saw."""
         peer, fresh = Replica("p/"), Replica("p/")
         peer.merge([PublishedItem("p/1", 5, b"x")], at(5))
         fresh.replace([PublishedItem("p/2", 6, b"y")], at(9))
         assert fresh.lacks_removals_since(at(5))
-        told = fresh.changes_since(at(5))
-        assert PublishedItem("p/1", 9, None) in peer.replace(told, at(9))
+        changes = fresh.changes_since(at(5))
+        assert PublishedItem("p/1", 9, None) in peer.replace(changes, at(9))
         assert not fresh.lacks_removals_since(at(9))
 
-    def test_a_removal_that_a_whole_copy_dates_too_early_counts(self) -> None:
-        """Guards against a key that was removed, written and removed again."""
+    def test_a_removal_with_an_old_revision_in_a_snapshot_counts(self) -> None:
+        """Guards against keeping a key that was removed a second time."""
         peer = Replica("p/")
         peer.merge([PublishedItem("p/1", 8, b"x")], at(8))
-        whole = [PublishedItem("p/1", 3, None)]
-        assert peer.replace(whole, at(9)) == [PublishedItem("p/1", 9, None)]
+        snapshot = [PublishedItem("p/1", 3, None)]
+        assert peer.replace(snapshot, at(9)) == [PublishedItem("p/1", 9, None)]
 
 
 class TestPlacement:
     def test_the_least_utilised_endpoint_is_chosen(self) -> None:
         state = RoutingState("entry", "a")
-        ends = [make_endpoint("e-1"), make_endpoint("e-2")]
+        endpoints = [make_endpoint("e-1"), make_endpoint("e-2")]
         record_sent(state, "e-1")
-        chosen = choose_incarnation(state, ends, frozenset(), 0.0, random.Random(1))
-        assert chosen is ends[1]
+        chosen = choose_incarnation(
+            state, endpoints, frozenset(), 0.0, random.Random(1)
+        )
+        assert chosen is endpoints[1]
 
-    def test_a_failed_endpoint_rests_unless_it_is_the_last(self) -> None:
+    def test_a_failed_endpoint_is_avoided_unless_it_is_the_last(self) -> None:
         state = RoutingState("entry", "a")
-        ends = [make_endpoint("e-1"), make_endpoint("e-2")]
+        endpoints = [make_endpoint("e-1"), make_endpoint("e-2")]
         record_failed(state, "e-1", 0.0)
         for tried, expected in ((frozenset(), "e-2"), (frozenset({"e-2"}), "e-1")):
-            chosen = choose_incarnation(state, ends, tried, 0.1, random.Random(1))
+            chosen = choose_incarnation(state, endpoints, tried, 0.1, random.Random(1))
             assert chosen is not None
             assert chosen.name == expected
 
     def test_the_own_data_centre_breaks_ties(self) -> None:
         state = RoutingState("entry", "b")
-        ends = [make_endpoint("e-1"), make_endpoint("e-2", data_centre="b")]
+        endpoints = [make_endpoint("e-1"), make_endpoint("e-2", data_centre="b")]
         for seed in range(5):
             chosen = choose_incarnation(
-                state, ends, frozenset(), 0.0, random.Random(seed)
+                state, endpoints, frozenset(), 0.0, random.Random(seed)
             )
-            assert chosen is ends[1]
+            assert chosen is endpoints[1]
 
 
 class TestColdEndpoints:
     SERVICE = DirectService("desk", "/health", 100, 26.0, True, cold_seconds=3.0)
 
-    def test_all_entries_together_keep_to_what_a_cold_endpoint_bears(self) -> None:
-        """Guards against entries that each send what one of them may."""
+    def test_all_entries_together_keep_to_the_cold_limit(self) -> None:
+        """Guards against entries that each use the whole limit."""
         endpoint = make_endpoint("e-1", cold_until=10.0)
-        gates = [ColdGate(1.5, 5.0) for _ in range(7)]
+        limiters = [ColdStartLimiter(1.5, 5.0) for _ in range(7)]
         sent = 0
-        for gate in gates:
+        for limiter in limiters:
             for _ in range(50):
-                if gate.allows(endpoint, self.SERVICE, len(gates), 0.5):
-                    gate.record_sent(endpoint, 0.5)
+                if limiter.allows(endpoint, self.SERVICE, len(limiters), 0.5):
+                    limiter.record_sent(endpoint, 0.5)
                     sent += 1
         assert 7 <= sent <= 26 * 1.5 + 5
 
-    def test_a_share_below_one_a_second_is_one_in_a_longer_time(self) -> None:
+    def test_a_share_below_one_per_second_allows_one_in_a_longer_window(self) -> None:
         endpoint = make_endpoint("e-1", cold_until=100.0)
         service = self.SERVICE._replace(cold_rate=1.0)
-        gate = ColdGate(1.0, 1.0)
+        limiter = ColdStartLimiter(1.0, 1.0)
         sent = 0
         for tick in range(1000):
             now = tick * 0.02
-            if gate.allows(endpoint, service, 16, now):
-                gate.record_sent(endpoint, now)
+            if limiter.allows(endpoint, service, 16, now):
+                limiter.record_sent(endpoint, now)
                 sent += 1
         assert sent == 2
 
     def test_a_warm_endpoint_is_not_limited(self) -> None:
-        gate = ColdGate(1.5, 5.0)
+        limiter = ColdStartLimiter(1.5, 5.0)
         endpoint = make_endpoint("e-1", cold_until=10.0)
         for _ in range(100):
-            gate.record_sent(endpoint, 9.9)
-        assert not gate.allows(endpoint, self.SERVICE, 1, 9.9)
-        assert gate.allows(endpoint, self.SERVICE, 1, 10.0)
+            limiter.record_sent(endpoint, 9.9)
+        assert not limiter.allows(endpoint, self.SERVICE, 1, 9.9)
+        assert limiter.allows(endpoint, self.SERVICE, 1, 10.0)
 
     def test_a_data_centre_that_is_back_counts_as_cold(self) -> None:
         table = RoutingTable(
             1, {}, {"desk": self.SERVICE}, CallerLimits(1, 1, 1.0, 1.0), None
         )
-        known = apply_facts(Directory(), [TablePublished(table)], 0.0, 1.0)
+        known = apply_updates(Directory(), [TablePublished(table)], 0.0, 1.0)
         published = EndpointPublished(make_endpoint("e-1"))
-        known = apply_facts(known, [published], 0.0, 1.0)
-        back = apply_facts(known, [DataCentreBack("a")], 0.0, 20.0)
+        known = apply_updates(known, [published], 0.0, 1.0)
+        back = apply_updates(known, [DataCentreReinstated("a")], 0.0, 20.0)
         assert back.endpoints["e-1"].cold_until == 23.0
 
 
@@ -306,10 +308,10 @@
 
 
 class TestGroups:
-    def test_one_refusal_speaks_for_all_ranks(self) -> None:
-        """Guards against a stall at each rank of a lost group."""
+    def test_one_refusal_counts_for_all_ranks(self) -> None:
+        """Guards against trying each rank of a group that is down."""
         beliefs = GroupBeliefs()
-        place = RankPlace("llm/g", 1, 0, 12, is_open=True)
+        place = RankAssignment("llm/g", 1, 0, 12, is_open=True)
         other = make_endpoint("e-2", place=place._replace(rank=1))
         beliefs.record_refusal("llm/g", 1, 10.0)
         assert not beliefs.takes_work(other)
@@ -325,7 +327,7 @@
         assert not beliefs.is_down("llm/g")
 
     def test_a_stalled_group_is_back_with_its_next_step_only(self) -> None:
-        """Guards against work for a group that still calls itself open."""
+        """Guards against calls to a stalled group that reports itself open."""
         beliefs = GroupBeliefs()
         beliefs.record_stall("g", 1, 7, 10.0)
         beliefs.record_report("g", 1, True, 11.0)
@@ -343,12 +345,12 @@
         assert hold_until(late) == pytest.approx(0.75)
 
     def test_late_streams_are_spread_over_a_return_and_nothing_else_is(self) -> None:
-        """Guards against a crowd that finds all engines idle at one moment."""
+        """Guards against a burst of requests that all see idle engines."""
         rng = random.Random(3)
         order = make_call(Repeat.ONCE)
         stream = order._replace(route=order.route._replace(is_stream=True))
         fresh = stream._replace(due_at=5.0)
-        assert {place_at(one, 1.0, rng) for one in (order, fresh)} == {1.0}
+        assert {place_at(call, 1.0, rng) for call in (order, fresh)} == {1.0}
         times = [place_at(stream, 1.0, rng) for _ in range(100)]
         assert 1.0 <= min(times) < 1.05
         assert 1.35 < max(times) <= 1.4
@@ -362,9 +364,9 @@
 
 
 class TestMembership:
-    def test_the_silent_are_forgotten_and_seeds_are_asked_again(self) -> None:
+    def test_silent_entries_expire_and_seeds_are_contacted_again(self) -> None:
         members = Membership("e-1", "a:1", ["a:1", "a:2"])
-        members.note(KnownEntry("e-2", "a:2", 10.0))
+        members.record_entry(KnownEntry("e-2", "a:2", 10.0))
         rng = random.Random(1)
         assert members.choose_peers(11.0, rng, is_searching=False) == ("a:2",)
         later = 10.0 + ALIVE_SECONDS + 1.0
@@ -372,65 +374,65 @@
         assert members.choose_peers(later, rng, is_searching=False) == ("a:2",)
 
     def test_a_message_stays_small_and_limits_stay_shared(self) -> None:
-        """Guards against limits shared by the entries of one message."""
+        """Guards against limits divided by the entries of one message only."""
         members = Membership("e-0", "a:0", [])
         for number in range(1, 340):
             heard_at = 10.0 + number / 10
-            members.note(KnownEntry(f"e-{number}", f"a:{number}", heard_at))
-        assert len(members.heard_last(44.0)) == MOST_TOLD
+            members.record_entry(KnownEntry(f"e-{number}", f"a:{number}", heard_at))
+        assert len(members.most_recent_entries(44.0)) == MAX_GOSSIP_ENTRIES
         assert len(members.alive(44.0)) < 60
         assert members.count(44.0) == 340
 
-    def test_a_young_entry_takes_no_duty(self) -> None:
-        """Guards against two entries that take up one duty."""
+    def test_a_recently_started_entry_takes_no_duty(self) -> None:
+        """Guards against two entries that start and take up the same duty."""
         member = Membership("e-1", "a:1", ["a:2"], started_at=100.0)
-        assert not member.is_chosen("maps g", 100.0 + SETTLE_SECONDS / 2)
-        assert member.is_chosen("maps g", 100.0 + SETTLE_SECONDS)
+        assert not member.is_holder("maps g", 100.0 + SETTLE_SECONDS / 2)
+        assert member.is_holder("maps g", 100.0 + SETTLE_SECONDS)
 
     def test_a_duty_passes_on_when_its_holder_is_silent(self) -> None:
-        """Guards against a group that is held by an entry without power."""
+        """Guards against a group whose duty holder has lost power."""
         names = ["e-1", "e-2", "e-3"]
         members = {name: Membership(name, name, []) for name in names}
-        for one in members.values():
+        for member in members.values():
             for name in names:
-                one.note(KnownEntry(name, name, 1.0))
-        (holder,) = [n for n in names if members[n].is_chosen("maps g", 1.0)]
+                member.record_entry(KnownEntry(name, name, 1.0))
+        (holder,) = [n for n in names if members[n].is_holder("maps g", 1.0)]
         others = [members[name] for name in names if name != holder]
         rng = random.Random(1)
-        for one in others:
-            asked = one.choose_peers(1.0, rng, ["maps g"], is_searching=False)
+        for member in others:
+            asked = member.choose_peers(1.0, rng, ["maps g"], is_searching=False)
             assert holder in asked
-            one.record_silence(holder)
-        assert [one.is_chosen("maps g", 1.5) for one in others].count(True) == 1
+            member.record_timeout(holder)
+        assert [member.is_holder("maps g", 1.5) for member in others].count(True) == 1
 
     def test_a_leaving_entry_is_not_brought_back_by_gossip(self) -> None:
         """Guards against duties that stay with an entry that has left."""
         member = Membership("e-1", "a:1", [])
         gossip = KnownEntry("e-2", "a:2", 9.9)
-        member.note(gossip)
+        member.record_entry(gossip)
         member.remove("e-2", 10.0)
-        member.note(gossip._replace(heard_at=10.01))
+        member.record_entry(gossip._replace(heard_at=10.01))
         assert member.alive(10.1) == ()
         restarted = gossip._replace(heard_at=10.5)
-        member.note(restarted)
+        member.record_entry(restarted)
         assert member.alive(10.6) == (restarted,)
 
-    def test_those_next_in_line_know_their_place(self) -> None:
+    def test_successors_know_their_index(self) -> None:
         names = ["e-1", "e-2", "e-3"]
-        places = []
+        indices = []
         for name in names:
             member = Membership(name, name, [])
             for other in names:
-                member.note(KnownEntry(other, other, 1.0))
-            places.append(member.succession_place("maps g", 1.0))
-        assert sorted(place for place in places if place is not None) == [0, 1, 2]
+                member.record_entry(KnownEntry(other, other, 1.0))
+            indices.append(member.succession_index("maps g", 1.0))
+        assert sorted(index for index in indices if index is not None) == [0, 1, 2]
 
-    def test_exactly_one_of_those_who_know_each_other_is_chosen(self) -> None:
+    def test_entries_that_know_each_other_agree_on_one_holder(self) -> None:
         names = ["e-1", "e-2", "e-3"]
         chosen = []
         for name in names:
             members = Membership(name, name, [])
             for other in names:
-                members.note(KnownEntry(other, other, 1.0))
-            chosen.append(members.is_chosen("maps g", 1.0))
+                members.record_entry(KnownEntry(other, other, 1.0))
+            chosen.append(members.is_holder("maps g", 1.0))
         assert chosen.count(True) == 1
--- a/mintsaddle/decisions/direct/tests/test_pace.py
+++ b/mintsaddle/decisions/direct/tests/test_pace.py
@@ -11,7 +11,7 @@
     EntryShare,
     GroupPaces,
     Incarnation,
-    RankPlace,
+    RankAssignment,
     Repeat,
     StepModel,
     admitting,
@@ -47,7 +47,7 @@
 
 
 def make_engine(rank: int) -> Incarnation:
-    place = RankPlace("g", 1, rank, RANKS, is_open=True)
+    place = RankAssignment("g", 1, rank, RANKS, is_open=True)
     return Incarnation(f"i-{rank}", "s", f"{rank}:1", "a", SLOTS, False, 0.0, 1, place)
 
 
@@ -177,7 +177,7 @@
 
     def make_ranked(self) -> list[Incarnation]:
         engines = [make_engine(rank) for rank in range(4)]
-        quick = RankPlace("q", 1, 0, RANKS, is_open=True)
+        quick = RankAssignment("q", 1, 0, RANKS, is_open=True)
         return [*engines[:2], *(one._replace(place=quick) for one in engines[2:])]
 
     def make_paces(self, *groups: str) -> GroupPaces:
--- a/mintsaddle/decisions/direct/tests/test_placement.py
+++ b/mintsaddle/decisions/direct/tests/test_placement.py
@@ -9,7 +9,7 @@
     MOST_PROBES,
     PROBES,
     Incarnation,
-    RankPlace,
+    RankAssignment,
     choose_by_load,
     has_free_place,
     lead_each_group,
@@ -110,7 +110,7 @@
 
     def choose(self, slow_requests: int, quick_requests: int) -> str:
         def make(name: str, group: str) -> Incarnation:
-            place = RankPlace(group, 1, 0, 1, is_open=True)
+            place = RankAssignment(group, 1, 0, 1, is_open=True)
             return Incarnation(name, "s", name, "a", 5, False, 0.0, 1, place)
 
         engines = [make("slow", "g"), make("quick", "h")]
@@ -126,7 +126,7 @@
         """Guards against a data centre that knows of one group only."""
         engines = [
             make_engine(number)._replace(
-                place=RankPlace(group, 1, number, 4, is_open=True)
+                place=RankAssignment(group, 1, number, 4, is_open=True)
             )
             for number, group in enumerate("ggggh")
         ]
@@ -134,6 +134,6 @@
         assert sorted(lead_each_group(engines)) == sorted(engines)
 
     def test_an_unknown_pace_counts_as_the_best_known(self) -> None:
-        place = RankPlace("new", 1, 0, 1, is_open=True)
+        place = RankAssignment("new", 1, 0, 1, is_open=True)
         engine = Incarnation("i", "s", "i", "a", 5, False, 0.0, 1, place)
         assert choose_by_load([engine], {"i": 1}, {"g": 0.13}) == engine
--- a/mintsaddle/decisions/direct/tests/test_restored_store.py
+++ b/mintsaddle/decisions/direct/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""Copies of a store that goes back to older copies of itself."""
+"""Replicas of a store that is restored from backups."""
 
 from typing import NamedTuple
 
@@ -15,8 +15,8 @@
     Position,
     PublishedItem,
     Replica,
-    StoreNews,
     StorePolling,
+    StoreResponse,
 )
 
 KEYS = ("a", "b", "c")
@@ -24,16 +24,16 @@
 
 
 class Call(NamedTuple):
-    """A call to the store whose answer is on its way."""
+    """A call to the store whose response is pending."""
 
     asked: Position
-    is_reading: bool
-    news: StoreNews | None
-    """None if the store lacks the history that was asked for."""
+    is_full_read: bool
+    response: StoreResponse | None
+    """None if the store no longer has the requested history."""
 
 
 class Store:
-    """A store that may be restored, and what its writers have written."""
+    """A store that may be restored, and what its writers last wrote."""
 
     def __init__(self, names_era: bool) -> None:
         self._names_era = names_era
@@ -55,30 +55,30 @@
         self._history.append(PublishedItem(key, self.revision, value))
 
     def restore(self, lost: int) -> None:
-        """Lose the last changes."""
+        """Restore a backup that lacks the last changes."""
         self.revision = max(1, self.revision - lost)
         self._history = [i for i in self._history if i.revision <= self.revision]
         self.era += 1
 
-    def write_again(self) -> None:
-        """Let the writers write again what was lost."""
+    def rewrite_lost(self) -> None:
+        """Let the writers repeat the writes that were lost."""
         for key, value in self.written.items():
             found = self.items.get(key)
             if (found.value if found else None) != value:
                 self.write(key, value)
 
-    def answer(self, asked: Position, *, is_reading: bool) -> StoreNews | None:
+    def answer(self, asked: Position, *, is_full_read: bool) -> StoreResponse | None:
         era = self.era if self._names_era else None
-        if is_reading:
-            return StoreNews(tuple(self.items.values()), self.revision, era)
+        if is_full_read:
+            return StoreResponse(tuple(self.items.values()), self.revision, era)
         if asked.revision > self.revision:
             return None
         events = [i for i in self._history if i.revision > asked.revision]
-        return StoreNews(tuple(events), self.revision, era)
+        return StoreResponse(tuple(events), self.revision, era)
 
 
 class Entry:
-    """One entry's copy, and its polling of the store."""
+    """One entry's replica, and its polling of the store."""
 
     def __init__(self) -> None:
         self.replica = Replica("")
@@ -87,51 +87,51 @@
 
     def ask(self, store: Store) -> None:
         asked = self.replica.position
-        is_reading = self.replica.is_empty or self.polling.must_read
-        news = store.answer(asked, is_reading=is_reading)
-        self.call = Call(asked, is_reading, news)
+        is_full_read = self.replica.is_empty or self.polling.needs_full_read
+        response = store.answer(asked, is_full_read=is_full_read)
+        self.call = Call(asked, is_full_read, response)
 
-    def take_answer(self) -> None:
+    def handle_response(self) -> None:
         call, self.call = self.call, None
         if call is None:
             return
-        if call.news is None:
+        if call.response is None:
             self.polling.record_history_gone()
             return
-        position = self.place(call, call.news)
+        position = self.resolve_position(call, call.response)
         if position is None:
             return
-        take = self.replica.replace if call.is_reading else self.replica.merge
-        take(call.news.items, position)
+        apply = self.replica.replace if call.is_full_read else self.replica.merge
+        apply(call.response.items, position)
 
-    def place(self, call: Call, news: StoreNews) -> Position | None:
-        return self.polling.place(
-            self.replica, call.asked, news, is_reading=call.is_reading
+    def resolve_position(self, call: Call, response: StoreResponse) -> Position | None:
+        return self.polling.resolve_position(
+            self.replica, call.asked, response, is_full_read=call.is_full_read
         )
 
-    def hear(self, other: "Entry") -> None:
-        """Take over what a peer tells."""
-        told, known = other.replica.position, self.replica.position
+    def merge_relayed(self, other: "Entry") -> None:
+        """Take over changes relayed by a peer."""
+        position, known = other.replica.position, self.replica.position
         changes = other.replica.changes_since(known)
         is_complete = other.replica.lacks_removals_since(known)
-        take = self.replica.replace if is_complete else self.replica.merge
-        if told.revision:
-            take(changes, told)
+        apply = self.replica.replace if is_complete else self.replica.merge
+        if position.revision:
+            apply(changes, position)
 
-    def lose_store(self) -> None:
+    def record_outage(self) -> None:
         self.call = None
         self.polling.record_gap()
 
-    def live(self) -> dict[str, bytes | None]:
+    def present_items(self) -> dict[str, bytes | None]:
         items = self.replica.changes_since(Position())
         return {item.key: item.value for item in items if item.value is not None}
 
 
 class Fleet(RuleBasedStateMachine):
-    """Entries that read, watch and relay while the store goes back.
+    """Entries that read, watch and relay while the store is restored.
 
-    Answers may arrive after relays; an absence of the store is noticed by
-    entries that ask it.
+    Responses may arrive after relayed changes. Entries notice an outage of the
+    store when they poll it.
     """
 
     names_era = True
@@ -153,9 +153,9 @@
     @rule(lost=st.integers(1, 4), writes=st.integers(0, 4))
     def restore(self, lost: int, writes: int) -> None:
         for entry in self.entries:
-            entry.lose_store()
+            entry.record_outage()
         self.store.restore(lost)
-        self.store.write_again()
+        self.store.rewrite_lost()
         for number in range(writes):
             self.write(KEYS[number % len(KEYS)], is_removal=False)
 
@@ -165,14 +165,14 @@
 
     @rule(number=numbers)
     def answer(self, number: int) -> None:
-        self.entries[number].take_answer()
+        self.entries[number].handle_response()
 
     @rule(number=numbers, distance=st.integers(1, ENTRIES - 1))
     def relay(self, number: int, distance: int) -> None:
         entry = self.entries[number]
         other = self.entries[(number + distance) % ENTRIES]
-        if not self.is_in_doubt(entry) and not self.is_in_doubt(other):
-            entry.hear(other)
+        if not self.is_era_uncertain(entry) and not self.is_era_uncertain(other):
+            entry.merge_relayed(other)
 
     @rule(number=numbers)
     def restart(self, number: int) -> None:
@@ -180,59 +180,60 @@
 
     @rule(number=numbers)
     def settle(self, number: int) -> None:
-        """An entry that asks until it may watch knows all; so do its peers."""
+        """Check that an entry and a peer have all items after polling."""
         entry = self.entries[number]
-        entry.take_answer()
+        entry.handle_response()
         for _ in range(3):
             entry.ask(self.store)
-            entry.take_answer()
+            entry.handle_response()
         expected = {key: item.value for key, item in self.store.items.items()}
-        assert entry.live() == expected
+        assert entry.present_items() == expected
         other = self.entries[(number + 1) % ENTRIES]
-        if self.is_in_doubt(other):
+        if self.is_era_uncertain(other):
             return
-        other.hear(entry)
+        other.merge_relayed(entry)
         if other.replica.position <= entry.replica.position:
-            assert other.live() == expected
+            assert other.present_items() == expected
 
-    def is_in_doubt(self, entry: Entry) -> bool:
-        """Return whether nobody can tell which history an entry knows."""
+    def is_era_uncertain(self, entry: Entry) -> bool:
+        """Return whether the era of an entry's items is uncertain."""
         return False
 
 
-class NamelessFleet(Fleet):
-    """A store that doesn't name its era.
+class UnnamedEraFleet(Fleet):
+    """A fleet whose store doesn't name its era.
 
-    Entries then tell nothing and hear nothing until they have read.
+    After an outage entries relay nothing and accept no relayed changes until
+    their next full read.
     """
 
     names_era = False
 
-    def is_in_doubt(self, entry: Entry) -> bool:
-        return entry.polling.must_read
+    def is_era_uncertain(self, entry: Entry) -> bool:
+        return entry.polling.needs_full_read
 
 
-class EntryByRevision(Entry):
-    """Takes changes over by their revision alone."""
+class EraIgnoringEntry(Entry):
+    """Compares changes by revision only, and ignores eras."""
 
-    def place(self, call: Call, news: StoreNews) -> Position | None:
+    def resolve_position(self, call: Call, response: StoreResponse) -> Position | None:
         self.polling = StorePolling()
-        return Position(0, news.revision)
+        return Position(0, response.revision)
 
 
-class FleetByRevision(Fleet):
-    make_entry = EntryByRevision
+class EraIgnoringFleet(Fleet):
+    make_entry = EraIgnoringEntry
 
 
-class WatchingEntry(Entry):
-    """Watches on after an absence of a store that names no era."""
+class OutageIgnoringEntry(Entry):
+    """Continues its watch after an outage, without a full read."""
 
-    def lose_store(self) -> None:
+    def record_outage(self) -> None:
         self.call = None
 
 
-class WatchingFleet(NamelessFleet):
-    make_entry = WatchingEntry
+class OutageIgnoringFleet(UnnamedEraFleet):
+    make_entry = OutageIgnoringEntry
 
 
 def run_fleet(machine: type[Fleet]) -> None:
@@ -248,16 +249,14 @@
     )
 
 
-class TestCopies:
-    @pytest.mark.parametrize("machine", [Fleet, NamelessFleet])
-    def test_every_copy_becomes_what_the_store_holds(
-        self, machine: type[Fleet]
-    ) -> None:
-        """Guards against changes that are lost after a restore."""
+class TestReplicas:
+    @pytest.mark.parametrize("machine", [Fleet, UnnamedEraFleet])
+    def test_every_replica_converges_to_the_store(self, machine: type[Fleet]) -> None:
+        """Guards against changes that are lost after the store is restored."""
         run_fleet(machine)
 
-    @pytest.mark.parametrize("machine", [FleetByRevision, WatchingFleet])
-    def test_copies_that_trust_revisions_miss_changes(
+    @pytest.mark.parametrize("machine", [EraIgnoringFleet, OutageIgnoringFleet])
+    def test_replicas_that_trust_revisions_miss_changes(
         self, machine: type[Fleet]
     ) -> None:
         with pytest.raises(AssertionError):
--- a/mintsaddle/direct/_calls.py
+++ b/mintsaddle/direct/_calls.py
@@ -21,7 +21,7 @@
     if table.keys is None:
         return NO_KEY
     holder = table.keys.get(head.key)
-    if holder is None and route.is_open:
+    if holder is None and route.allows_anonymous:
         return NO_KEY
     return holder
 
--- a/mintsaddle/direct/_follow.py
+++ b/mintsaddle/direct/_follow.py
@@ -10,8 +10,8 @@
     RETRY_SHARE,
     WATCH_SHARE,
     Position,
-    StoreNews,
     StorePolling,
+    StoreResponse,
 )
 from mintsaddle.direct._gateway import PLATFORM_SOURCE, Gateway, describe_position
 from mintsaddle.observe import fields, make_logger
@@ -59,7 +59,7 @@
                 self._poll()
             else:
                 self._rest()
-            self._gateway.drop_lapsed()
+            self._gateway.drop_expired()
 
     def _rest(self) -> None:
         # An idle connection may go silent; the next poll has no time for that.
@@ -73,7 +73,7 @@
         gateway = self._gateway
         replica = gateway.replica
         asked_at, asked, is_first = gateway.now(), replica.position, replica.is_empty
-        is_reading = is_first or self._polling.must_read
+        is_reading = is_first or self._polling.needs_full_read
         match self._ask(asked, is_reading=is_reading, is_first=is_first):
             case Success(answer):
                 gateway.metrics.count("store_answered")
@@ -82,8 +82,8 @@
                 ours = tuple(item for item in answer.items if is_ours(item.key))
                 news = answer._replace(items=ours)
                 with gateway.lock:
-                    position = self._polling.place(
-                        replica, asked, news, is_reading=is_reading
+                    position = self._polling.resolve_position(
+                        replica, asked, news, is_full_read=is_reading
                     )
                 if position is None:
                     return
@@ -113,7 +113,7 @@
 
     def _ask(
         self, asked: Position, *, is_reading: bool, is_first: bool
-    ) -> Result[StoreNews, StoreProblem]:
+    ) -> Result[StoreResponse, StoreProblem]:
         prefix = self._gateway.replica.prefix
         if is_reading:
             may_be_old = is_first and self._may_start_old
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Sequence
 
 from mintsaddle.decisions.direct import (
-    LAPSE_GRACE,
+    LAPSE_GRACE_SECONDS,
     SETTLE_SECONDS,
-    ColdGate,
+    ColdStartLimiter,
     Directory,
-    EndpointMoved,
+    EndpointReplaced,
     EntryShare,
     GroupBeliefs,
     GroupPaces,
@@ -19,8 +19,8 @@
     PublishedItem,
     Replica,
     RouteDeadlines,
-    apply_facts,
-    drop_lapsed,
+    apply_updates,
+    drop_expired,
     must_poll,
     usable_endpoints,
 )
@@ -78,7 +78,7 @@
         self._reach.on_change(self._notify_waiting)
         self._deadlines = RouteDeadlines()
         self._entries = _LIKELY_ENTRIES
-        self._cold_gate = ColdGate(settings.cold_factor, settings.cold_slack)
+        self._cold_gate = ColdStartLimiter(settings.cold_factor, settings.cold_slack)
         self._limits = EndpointLimits(self._lock, self.now)
         self._pool = ConnectionPool(self.now)
         self._probe = LoadProbe(settings, self.now)
@@ -232,7 +232,7 @@
         """
         with self._lock:
             self._is_platform_lost = False
-            self._replica.expect_lapses(self.now() + LAPSE_GRACE)
+            self._replica.expect_lapses(self.now() + LAPSE_GRACE_SECONDS)
 
     def duties(self) -> set[str]:
         """Return the names of the duties that some entry has to manage."""
@@ -305,7 +305,7 @@
         """Note that the store came back from an older copy; under the lock."""
         if source == PLATFORM_SOURCE:
             # A peer tells how much of the grace is left.
-            self._replica.expect_lapses(self.now() + LAPSE_GRACE)
+            self._replica.expect_lapses(self.now() + LAPSE_GRACE_SECONDS)
         self._metrics.count("store_restored")
         _log.warning(
             "Store restored %s.",
@@ -324,15 +324,15 @@
         It gets nothing more unless it announces itself again.
         """
         with self._lock:
-            facts = [EndpointMoved(endpoint)]
-            self._directory = apply_facts(self._directory, facts, 0.0, self.now())
+            facts = [EndpointReplaced(endpoint)]
+            self._directory = apply_updates(self._directory, facts, 0.0, self.now())
             self._routing.forget(endpoint)
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Believe the platform where it hasn't written again what it lost."""
         with self._lock:
             before = self._directory
-            self._directory = drop_lapsed(before, self.now())
+            self._directory = drop_expired(before, self.now())
             if self._directory is not before:
                 self._log_beliefs("grace-over")
 
@@ -411,7 +411,9 @@
         """Take over limits from a settings file that has changed."""
         with self._lock:
             self._settings = settings
-            self._cold_gate = ColdGate(settings.cold_factor, settings.cold_slack)
+            self._cold_gate = ColdStartLimiter(
+                settings.cold_factor, settings.cold_slack
+            )
 
     def record_group(
         self, group: str, epoch: int, is_open: bool, step: int | None = None
@@ -485,8 +487,8 @@
     ) -> None:
         before, replica = self._directory, self._replica
         facts = decode_items(sorted(changed, key=lambda item: item.revision), now)
-        hold = self._settings.lease + LAPSE_GRACE
-        self._directory = apply_facts(
+        hold = self._settings.lease + LAPSE_GRACE_SECONDS
+        self._directory = apply_updates(
             before, facts, replica.lapse_until, now, now + hold if is_restored else None
         )
         after = self._directory
@@ -513,6 +515,6 @@
                 endpoints=len(directory.endpoints),
                 leaving=leaving,
                 withheld=len(directory.withheld),
-                out=",".join(sorted(directory.out)) or "none",
+                out=",".join(sorted(directory.evacuated)) or "none",
             ),
         )
--- a/mintsaddle/direct/_maps.py
+++ b/mintsaddle/direct/_maps.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-from mintsaddle.decisions.direct import Membership, bearable_pause
+from mintsaddle.decisions.direct import Membership, shortest_allowed_pause
 from mintsaddle.decisions.expert_maps import (
     ExpertMap,
     MapWatch,
@@ -101,7 +101,7 @@
             _log.exception("Poll failed %s.", fields(group=group.name))
 
     def _manage(self, group: RankGroup) -> None:
-        place = self._membership.succession_place(
+        place = self._membership.succession_index(
             map_duty(group.name), self._gateway.now()
         )
         if place == 0:
@@ -167,7 +167,7 @@
 
     def _begin_watch(self, group: RankGroup, epoch: int) -> MapWatch:
         table = self._gateway.directory.table
-        pause = bearable_pause(table, group.service) if table else 0.0
+        pause = shortest_allowed_pause(table, group.service) if table else 0.0
         model = group.model
         watch = MapWatch(epoch, model.layers, model.experts, pause)
         self._watches[group.name] = watch
--- a/mintsaddle/direct/_paths.py
+++ b/mintsaddle/direct/_paths.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from concurrent.futures import ThreadPoolExecutor
 
-from mintsaddle.decisions.direct import PATH_CHECKS
+from mintsaddle.decisions.direct import ENDPOINTS_PER_CHECK
 from mintsaddle.direct._gateway import Gateway
 
 CHECK_SECONDS = 0.15
@@ -20,7 +20,7 @@
 
 def _run(gateway: Gateway) -> None:
     pause = threading.Event()
-    with ThreadPoolExecutor(PATH_CHECKS + 1, "paths") as pool:
+    with ThreadPoolExecutor(ENDPOINTS_PER_CHECK + 1, "paths") as pool:
         while True:
             for data_centre in gateway.reach.await_doubts():
                 _check(gateway, pool, data_centre)
@@ -29,7 +29,7 @@
 
 def _check(gateway: Gateway, pool: ThreadPoolExecutor, data_centre: str) -> None:
     """Connect to some endpoints of a data centre, and to the platform."""
-    addresses = gateway.draw_addresses(data_centre, PATH_CHECKS)
+    addresses = gateway.draw_addresses(data_centre, ENDPOINTS_PER_CHECK)
     store = pool.submit(_connects, gateway.settings.store)
     reached = _any_connects(pool, addresses)
     gateway.reach.record_check(
--- a/mintsaddle/direct/_peers.py
+++ b/mintsaddle/direct/_peers.py
@@ -6,7 +6,7 @@
 
 from grpclib.server import Server, Stream
 
-from mintsaddle.decisions.direct import KnownEntry, Membership, Upstreams
+from mintsaddle.decisions.direct import KnownEntry, Membership, UpstreamSelector
 from mintsaddle.direct._gateway import Gateway
 from mintsaddle.direct._permits import PermitExchange
 from mintsaddle.direct._relay import (
@@ -56,7 +56,7 @@
         self._channels = ChannelPool()
         self._silent: set[str] = set()
         self._relay = CopyRelay(gateway)
-        self._upstreams = Upstreams(membership.vm, gateway.settings.data_centre)
+        self._upstreams = UpstreamSelector(membership.vm, gateway.settings.data_centre)
         self._permits = PermitExchange(gateway, membership, self._channels)
         self._cut_found = asyncio.Event()
 
@@ -213,7 +213,7 @@
         It is tried again over a fresh connection in a later round.
         """
         self._channels.drop(address)
-        self._membership.record_silence(address)
+        self._membership.record_timeout(address)
         data_centre = self._membership.data_centre_of(address)
         # A peer is waited for much longer than a datagram.
         self._gateway.reach.record(data_centre, came=False, weight=PEER_WEIGHT)
@@ -248,7 +248,7 @@
         """Return who this entry is and whom it knows."""
         now = self._gateway.now()
         hello = self._make_brief_hello()
-        for entry in self._membership.heard_last(now):
+        for entry in self._membership.most_recent_entries(now):
             hello.entries.add(
                 vm=entry.vm,
                 address=entry.address,
@@ -262,7 +262,7 @@
         if hello.leaving:
             self._membership.remove(hello.vm, now)
         else:
-            self._membership.note(
+            self._membership.record_entry(
                 KnownEntry(hello.vm, hello.address, now, hello.data_centre)
             )
         if hello.data_centre == self._gateway.settings.data_centre:
@@ -271,7 +271,7 @@
                 self._gateway.reach.record(name, came=False, weight=PEER_WEIGHT)
         for entry in hello.entries:
             heard_at = now - entry.age
-            self._membership.note(
+            self._membership.record_entry(
                 KnownEntry(entry.vm, entry.address, heard_at, entry.data_centre)
             )
 
--- a/mintsaddle/direct/_permits.py
+++ b/mintsaddle/direct/_permits.py
@@ -159,6 +159,6 @@
     def _record_silence(self, entry: KnownEntry, error: Exception) -> None:
         """Record that a peer failed, whatever grpclib raised."""
         self._channels.drop(entry.address)
-        self._membership.record_silence(entry.address)
+        self._membership.record_timeout(entry.address)
         name = type(error).__name__
         _log.info("Granter silent %s.", fields(vm=entry.vm, error=name))
--- a/mintsaddle/direct/_pool.py
+++ b/mintsaddle/direct/_pool.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from typing import NamedTuple
 
-from mintsaddle.decisions.direct import MOST_IDLE, Incarnation
+from mintsaddle.decisions.direct import MAX_IDLE_CONNECTIONS, Incarnation
 from mintsaddle.direct._exchange import Exchange
 from mintsaddle.values import Instant
 
@@ -61,8 +61,8 @@
         with self._lock:
             kept = self._idle.setdefault(endpoint.name, [])
             kept.append(_Idle(exchange, self._now() + seconds))
-            surplus = kept[:-MOST_IDLE]
-            del kept[:-MOST_IDLE]
+            surplus = kept[:-MAX_IDLE_CONNECTIONS]
+            del kept[:-MAX_IDLE_CONNECTIONS]
         for idle in surplus:
             idle.exchange.close()
 
--- a/mintsaddle/direct/_rank_groups.py
+++ b/mintsaddle/direct/_rank_groups.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from mintsaddle.decisions.direct import Directory, ExpertModel, Incarnation
+from mintsaddle.decisions.direct import Directory, ExpertLayout, Incarnation
 
 
 class RankGroup(NamedTuple):
@@ -11,7 +11,7 @@
     name: str
     service: str
     ranks: tuple[Incarnation, ...]
-    model: ExpertModel
+    model: ExpertLayout
     serving: tuple[int, ...]
     """Ranks that get work: their data centre isn't out."""
 
@@ -35,7 +35,7 @@
             serving = tuple(
                 rank
                 for rank, one in enumerate(ordered)
-                if one.data_centre not in directory.out
+                if one.data_centre not in directory.evacuated
             )
             if serving:
                 service_name = ordered[0].service
--- a/mintsaddle/direct/_reach.py
+++ b/mintsaddle/direct/_reach.py
@@ -3,7 +3,7 @@
 import threading
 from collections.abc import Callable, Collection
 
-from mintsaddle.decisions.direct import PathBeliefs
+from mintsaddle.decisions.direct import ReachabilityTracker
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.values import Clock, Instant
 
@@ -32,7 +32,7 @@
             now: The clock.
             data_centres: Returns all that have endpoints.
         """
-        self._paths = PathBeliefs(data_centre)
+        self._paths = ReachabilityTracker(data_centre)
         self._lock = lock
         self._doubted = threading.Condition(lock)
         self._now = now
@@ -45,7 +45,7 @@
         """Whether the entry's data centre is cut off from all others."""
         with self._lock:
             # Asked with every answer, and hardly ever is anything cut.
-            if not self._paths.cut_data_centres():
+            if not self._paths.unreachable_data_centres():
                 return False
             return self._paths.is_isolated(self._data_centres())
 
@@ -53,7 +53,7 @@
     def cut(self) -> list[str]:
         """The data centres to which there is no path."""
         with self._lock:
-            return self._paths.cut_data_centres()
+            return self._paths.unreachable_data_centres()
 
     @property
     def seconds_to_move(self) -> float:
@@ -67,7 +67,7 @@
 
     def is_cut(self, data_centre: str) -> bool:
         """Return whether a data centre can't be reached; under the lock."""
-        return self._paths.is_cut(data_centre)
+        return self._paths.is_unreachable(data_centre)
 
     def record(self, data_centre: str, *, came: bool, weight: int = 1) -> None:
         """Note whether something came from a data centre.
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -14,7 +14,7 @@
     choose_urgency,
     decide_next,
     give_up,
-    keep_seconds,
+    idle_limit_seconds,
     record_attempt,
 )
 from mintsaddle.decisions.routing import (
@@ -310,7 +310,7 @@
         endpoint, exchange = attempt.endpoint, attempt.exchange
         self._watchdog.remove(attempt.watched)
         if is_whole:
-            seconds = keep_seconds(attempt.head.idle_seconds)
+            seconds = idle_limit_seconds(attempt.head.idle_seconds)
             self._gateway.pool.give(endpoint, exchange, seconds)
         else:
             exchange.close()
--- a/mintsaddle/direct/tests/test_pool.py
+++ b/mintsaddle/direct/tests/test_pool.py
@@ -8,7 +8,11 @@
 
 import pytest
 
-from mintsaddle.decisions.direct import MOST_IDLE, Incarnation, keep_seconds
+from mintsaddle.decisions.direct import (
+    MAX_IDLE_CONNECTIONS,
+    Incarnation,
+    idle_limit_seconds,
+)
 from mintsaddle.direct._exchange import Exchange, read_body
 from mintsaddle.direct._pool import ConnectionPool
 from mintsaddle.direct.tests.clocks import Clock
@@ -138,12 +142,14 @@
         assert not exchange.is_quiet()
 
     def test_few_are_kept(self, endpoint: Endpoint, pool: ConnectionPool) -> None:
-        exchanges = [Exchange(endpoint.address) for _ in range(MOST_IDLE + 2)]
+        exchanges = [
+            Exchange(endpoint.address) for _ in range(MAX_IDLE_CONNECTIONS + 2)
+        ]
         for exchange in exchanges:
             ask(exchange)
             pool.give(make_run(endpoint), exchange, 3.0)
         assert not any(one.is_quiet() for one in exchanges[:2])
-        taken = [pool.take(make_run(endpoint)) for _ in range(MOST_IDLE + 1)]
+        taken = [pool.take(make_run(endpoint)) for _ in range(MAX_IDLE_CONNECTIONS + 1)]
         assert taken == [*reversed(exchanges[2:]), None]
 
     @pytest.mark.parametrize(
@@ -152,7 +158,7 @@
     def test_it_is_given_up_before_the_endpoint_closes_it(
         self, told: float | None, seconds: float
     ) -> None:
-        assert keep_seconds(told) == seconds
+        assert idle_limit_seconds(told) == seconds
 
 
 class TestDoubt:
--- a/mintsaddle/direct/tests/test_probe.py
+++ b/mintsaddle/direct/tests/test_probe.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mintsaddle.decisions.direct import EngineLoad, Incarnation, RankPlace
+from mintsaddle.decisions.direct import EngineLoad, Incarnation, RankAssignment
 from mintsaddle.direct import _agents, _probe
 from mintsaddle.direct._probe import LoadProbe
 from mintsaddle.direct.tests.clocks import Clock
@@ -36,7 +36,7 @@
 
 
 def make_endpoint(address: str, *, is_rank: bool = True) -> Incarnation:
-    place = RankPlace("g", 3, 0, 1, is_open=True) if is_rank else None
+    place = RankAssignment("g", 3, 0, 1, is_open=True) if is_rank else None
     return Incarnation("i-0", "letters", address, "a", 3, False, 0.0, 1, place)
 
 
--- a/mintsaddle/direct/tests/test_rank_calls.py
+++ b/mintsaddle/direct/tests/test_rank_calls.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mintsaddle.decisions.direct import ExpertModel, Incarnation, RankPlace
+from mintsaddle.decisions.direct import ExpertLayout, Incarnation, RankAssignment
 from mintsaddle.decisions.expert_maps import (
     MapOrder,
     OrderAct,
@@ -23,7 +23,7 @@
 from mintsaddle.rank_agent._agent import RankAgent
 from mintsaddle.rank_agent.tests.standins import Engine
 
-MODEL = ExpertModel(layers=1, experts=2, places=2, new_places=1, load_seconds=0.1)
+MODEL = ExpertLayout(layers=1, experts=2, places=2, new_places=1, load_seconds=0.1)
 TIMEOUT = 3.0
 """Seconds for answers that do come, however busy the machine is."""
 
@@ -63,7 +63,7 @@
             False,
             0.0,
             1,
-            RankPlace("g", 3, rank, len(engines), True),
+            RankAssignment("g", 3, rank, len(engines), True),
         )
         for rank, engine in enumerate(engines)
     )
--- a/mintsaddle/platform/_configuration.py
+++ b/mintsaddle/platform/_configuration.py
@@ -11,7 +11,7 @@
     CallerLimits,
     Destination,
     DirectService,
-    ExpertModel,
+    ExpertLayout,
     KeyHolder,
     Repeat,
     Route,
@@ -81,8 +81,8 @@
         longest_pause=float(values.get("gap_aim_ms") or 0) / MILLISECONDS,
         priority=int(values.get("priority") or 0),
         destinations=destinations,
-        most_attempts=max(1, int(values.get("max_attempts") or 1)),
-        is_open=bool(values.get("allow_anonymous")),
+        max_attempts=max(1, int(values.get("max_attempts") or 1)),
+        allows_anonymous=bool(values.get("allow_anonymous")),
     )
 
 
@@ -99,7 +99,7 @@
     return DirectService(
         name=str(values["name"]),
         health_path=str(values.get("health_path") or "/health"),
-        most_connections=int(values.get("max_connections") or 0),
+        max_connections=int(values.get("max_connections") or 0),
         cold_rate=float(values.get("cold_per_s") or 0),
         is_engine=isinstance(values.get("engine"), dict),
         cold_seconds=float(values.get("cold_start_s") or 0),
@@ -123,12 +123,12 @@
     )
 
 
-def _decode_experts(engine: Mapping[str, Any]) -> ExpertModel | None:
+def _decode_experts(engine: Mapping[str, Any]) -> ExpertLayout | None:
     if not engine.get("experts"):
         return None
     megabits = float(engine.get("expert_mb") or 0) * _BITS
     link = float(engine.get("link_mbps") or 0)
-    return ExpertModel(
+    return ExpertLayout(
         # The platform's set is our layer.
         layers=int(engine["sets"]),
         experts=int(engine["experts"]),
--- a/mintsaddle/platform/_items.py
+++ b/mintsaddle/platform/_items.py
@@ -7,14 +7,14 @@
 from returns.result import Failure, Success
 
 from mintsaddle.decisions.direct import (
-    DataCentreBack,
-    DataCentreOut,
+    DataCentreEvacuated,
+    DataCentreReinstated,
+    DirectoryUpdate,
     EndpointPublished,
     EndpointRemoved,
-    Fact,
     Incarnation,
     PublishedItem,
-    RankPlace,
+    RankAssignment,
     TablePublished,
 )
 from mintsaddle.observe import fields, make_logger
@@ -42,9 +42,9 @@
     return key == _TABLE_KEY or key.startswith((_OUT_PREFIX, _ENDPOINT_PREFIX))
 
 
-def decode_items(items: Iterable[PublishedItem], now: Instant) -> list[Fact]:
+def decode_items(items: Iterable[PublishedItem], now: Instant) -> list[DirectoryUpdate]:
     """Return the facts that changed items hold; unreadable ones are logged."""
-    facts: list[Fact] = []
+    facts: list[DirectoryUpdate] = []
     for item in items:
         fact = _decode_item(item, now)
         if fact is not None:
@@ -52,18 +52,22 @@
     return facts
 
 
-def _decode_item(item: PublishedItem, now: Instant) -> Fact | None:
+def _decode_item(item: PublishedItem, now: Instant) -> DirectoryUpdate | None:
     if item.key == _TABLE_KEY:
         return _decode_table_item(item)
     if item.key.startswith(_OUT_PREFIX):
         name = item.key.removeprefix(_OUT_PREFIX)
-        return DataCentreBack(name) if item.value is None else DataCentreOut(name)
+        return (
+            DataCentreReinstated(name)
+            if item.value is None
+            else DataCentreEvacuated(name)
+        )
     if item.key.startswith(_ENDPOINT_PREFIX):
         return _decode_endpoint(item, now)
     return None
 
 
-def _decode_table_item(item: PublishedItem) -> Fact | None:
+def _decode_table_item(item: PublishedItem) -> DirectoryUpdate | None:
     if item.value is None:
         _log.warning("Table removed %s.", fields(revision=item.revision))
         return None
@@ -77,7 +81,7 @@
     return None
 
 
-def _decode_endpoint(item: PublishedItem, now: Instant) -> Fact:
+def _decode_endpoint(item: PublishedItem, now: Instant) -> DirectoryUpdate:
     """Return the announcement, or a removal when it can't be read.
 
     Another writer may leave fields out, write other types or garbage; such an
@@ -117,16 +121,16 @@
         slots=max(1, int(slots)),
         leaving=state == "draining",
         cold_until=now + cold_ms / MILLISECONDS if cold_ms > 0 else 0.0,
-        born=int(born),
+        started_at_ms=int(born),
         place=_read_place(values),
     )
 
 
-def _read_place(values: dict[str, Any]) -> RankPlace | None:
+def _read_place(values: dict[str, Any]) -> RankAssignment | None:
     group = values.get("group")
     if not isinstance(group, dict):
         return None
-    return RankPlace(
+    return RankAssignment(
         group=f"{values['service']}/{group['name']}",
         epoch=int(group["epoch"]),
         rank=int(group["rank"]),
--- a/mintsaddle/platform/_store.py
+++ b/mintsaddle/platform/_store.py
@@ -11,7 +11,7 @@
 
 from returns.result import Failure, Result, Success
 
-from mintsaddle.decisions.direct import PublishedItem, StoreNews
+from mintsaddle.decisions.direct import PublishedItem, StoreResponse
 from mintsaddle.values import MILLISECONDS
 
 READ_SECONDS = 1.0
@@ -56,7 +56,7 @@
 
     def read_all(
         self, prefix: str, *, may_be_old: bool = False
-    ) -> Result[StoreNews, StoreProblem]:
+    ) -> Result[StoreResponse, StoreProblem]:
         """Return all items under a prefix.
 
         Pages are no snapshot, so the lowest revision of any page counts: what
@@ -91,7 +91,7 @@
 
     def watch(
         self, prefix: str, position: int, wait: float
-    ) -> Result[StoreNews, StoreProblem]:
+    ) -> Result[StoreResponse, StoreProblem]:
         """Wait for changes after a revision.
 
         Args:
@@ -106,7 +106,7 @@
         }
         answer = self._get("kv-watch", query, wait + READ_SECONDS, "events")
         return answer.map(
-            lambda page: StoreNews(page.items, max(position, page.at), page.era)
+            lambda page: StoreResponse(page.items, max(position, page.at), page.era)
         )
 
     def close(self) -> None:
@@ -168,21 +168,21 @@
 
 def _join_pages(
     pages: list[_Page], *, may_be_old: bool
-) -> Result[StoreNews, StoreProblem]:
+) -> Result[StoreResponse, StoreProblem]:
     items = tuple(item for page in pages for item in page.items)
     position = min(page.at for page in pages)
     era = pages[0].era
     if may_be_old:
         # The revision that an old page names may be newer than its items.
         newest = max((item.revision for item in items), default=1)
-        return Success(StoreNews(items, min(position, newest), era))
+        return Success(StoreResponse(items, min(position, newest), era))
     is_restored = any(
         later.era != era or later.at < earlier.at
         for earlier, later in itertools.pairwise(pages)
     )
     if is_restored:
         return Failure(StoreProblem.HISTORY_GONE)
-    return Success(StoreNews(items, position, era))
+    return Success(StoreResponse(items, position, era))
 
 
 def _read_era(response: http.client.HTTPResponse) -> int | None:
--- a/mintsaddle/platform/tests/test_translation.py
+++ b/mintsaddle/platform/tests/test_translation.py
@@ -10,12 +10,12 @@
 
 import mintsaddle
 from mintsaddle.decisions.direct import (
-    DataCentreBack,
-    DataCentreOut,
+    DataCentreEvacuated,
+    DataCentreReinstated,
     EndpointPublished,
     EndpointRemoved,
     PublishedItem,
-    RankPlace,
+    RankAssignment,
     Repeat,
 )
 from mintsaddle.platform import (
@@ -101,7 +101,7 @@
         (fact,) = self.decode("servers/i-1", value)
         assert isinstance(fact, EndpointPublished)
         assert fact.incarnation.cold_until == 100.5
-        assert fact.incarnation.place == RankPlace("llm/g", 2, 3, 4, is_open=False)
+        assert fact.incarnation.place == RankAssignment("llm/g", 2, 3, 4, is_open=False)
 
     @pytest.mark.parametrize(
         "change",
@@ -120,8 +120,8 @@
         assert facts == [EndpointRemoved("i-1")]
 
     def test_data_centres_go_out_and_come_back(self) -> None:
-        assert self.decode("op/evacuate/a", {}) == [DataCentreOut("a")]
-        assert self.decode("op/evacuate/a", None) == [DataCentreBack("a")]
+        assert self.decode("op/evacuate/a", {}) == [DataCentreEvacuated("a")]
+        assert self.decode("op/evacuate/a", None) == [DataCentreReinstated("a")]
 
 
 class TestHeads:
