--- a/mintsaddle/decisions/direct/_replica.py
+++ b/mintsaddle/decisions/direct/_replica.py
@@ -110,7 +110,7 @@
     def replace(
         self, items: Iterable[PublishedItem], position: Position
     ) -> list[PublishedItem]:
-        """Replace all items by a snapshot; return changes and removals."""
+        """Apply a complete snapshot; return changes, removals included."""
         if not self.accepts(position, is_complete=True):
             return []
         snapshot = tuple(items)
--- a/mintsaddle/decisions/direct/_upstream.py
+++ b/mintsaddle/decisions/direct/_upstream.py
@@ -22,20 +22,20 @@
 FAN_OUT = 6
 """Entries that follow the same upstream; bounds the load on a relay."""
 
-STALE_SHARE = 0.6
-"""Share of the bound after which an unconfirmed replica counts as stale; the
-rest is left for a poll on a new connection."""
+STALE_AFTER_FRACTION = 0.6
+"""Fraction of the bound after which an unconfirmed replica counts as stale;
+the rest is left for a poll on a new connection."""
 
-WATCH_SHARE = 0.35
-"""Share of the bound for which a watch waits; short enough that a reader
+WATCH_WAIT_FRACTION = 0.35
+"""Fraction of the bound for which a watch waits; short enough that a reader
 without changes confirms its followers' replicas before they count as stale."""
 
-COALESCE_SHARE = 0.05
-"""Share of the bound between two calls of a reader, so that a burst of
+CALL_INTERVAL_FRACTION = 0.05
+"""Fraction of the bound between two calls of a reader, so that a burst of
 changes, as at the start of a fleet, costs one call."""
 
-RETRY_SHARE = 0.15
-"""Share of the bound between two attempts while the platform fails."""
+RETRY_INTERVAL_FRACTION = 0.15
+"""Fraction of the bound between two attempts while the platform fails."""
 
 REJECT_SECONDS = 5.0
 """Seconds for which an upstream with a stale replica isn't followed again."""
@@ -52,7 +52,7 @@
         bound: Seconds from a change until every entry acts on it.
         now: The current time.
     """
-    return is_reader or now - confirmed_at >= bound * STALE_SHARE
+    return is_reader or now - confirmed_at >= bound * STALE_AFTER_FRACTION
 
 
 class UpstreamSelector:
--- a/mintsaddle/direct/_relay.py
+++ b/mintsaddle/direct/_relay.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncGenerator, Callable
 from typing import TYPE_CHECKING
 
-from mintsaddle.decisions.direct import STALE_SHARE, Position, PublishedItem
+from mintsaddle.decisions.direct import STALE_AFTER_FRACTION, Position, PublishedItem
 from mintsaddle.direct._gateway import Gateway
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.transport.proto.peer_grpc import EntryPeersStub
@@ -100,7 +100,7 @@
             StaleUpstreamError: It has confirmed nothing for too long.
             Exception: It doesn't answer; whatever grpclib raises.
         """
-        silent_seconds = self._gateway.settings.news_within * STALE_SHARE
+        silent_seconds = self._gateway.settings.news_within * STALE_AFTER_FRACTION
         async with stub.Follow.open() as stream:
             send = stream.send_message(hello, end=True)
             await asyncio.wait_for(send, ANSWER_SECONDS)
