--- a/mintsaddle/decisions/direct/_calls.py
+++ b/mintsaddle/decisions/direct/_calls.py
@@ -104,7 +104,7 @@
     may have run it and lost the answer. All others wait until their deadline:
     without an answer the request may still be running.
     """
-    is_last = call.sends + 1 >= call.route.most_attempts
+    is_last = call.sends + 1 >= call.route.max_attempts
     if is_last or call.route.repeat is not Repeat.IDEMPOTENT:
         return call.deadline
     return now + (call.deadline - now) * FIRST_ATTEMPT_SHARE
@@ -132,7 +132,7 @@
     """
     if now >= call.deadline:
         return give_up(call, Reason.TOO_LATE)
-    if call.sends >= call.route.most_attempts or not has_budget:
+    if call.sends >= call.route.max_attempts or not has_budget:
         return give_up(call, _REASONS[ending])
     if call.may_have_run and call.route.repeat is Repeat.ONCE:
         return give_up(call, _REASONS[ending])
--- a/mintsaddle/decisions/direct/tests/test_placement.py
+++ b/mintsaddle/decisions/direct/tests/test_placement.py
@@ -9,7 +9,7 @@
     MAX_PROBES,
     PROBES_PER_ROUND,
     Incarnation,
-    RankPlace,
+    RankAssignment,
     choose_by_load,
     group_leaders_first,
     has_free_slot,
@@ -110,7 +110,7 @@
 
     def choose(self, slow_requests: int, quick_requests: int) -> str:
         def make(name: str, group: str) -> Incarnation:
-            place = RankPlace(group, 1, 0, 1, is_open=True)
+            place = RankAssignment(group, 1, 0, 1, is_open=True)
             return Incarnation(name, "s", name, "a", 5, False, 0.0, 1, place)
 
         engines = [make("slow", "g"), make("quick", "h")]
@@ -126,7 +126,7 @@
         """Guards against probing only the one group of a data centre."""
         engines = [
             make_engine(number)._replace(
-                place=RankPlace(group, 1, number, 4, is_open=True)
+                place=RankAssignment(group, 1, number, 4, is_open=True)
             )
             for number, group in enumerate("ggggh")
         ]
@@ -134,6 +134,6 @@
         assert sorted(group_leaders_first(engines)) == sorted(engines)
 
     def test_an_unknown_step_time_counts_as_the_best_known(self) -> None:
-        place = RankPlace("new", 1, 0, 1, is_open=True)
+        place = RankAssignment("new", 1, 0, 1, is_open=True)
         engine = Incarnation("i", "s", "i", "a", 5, False, 0.0, 1, place)
         assert choose_by_load([engine], {"i": 1}, {"g": 0.13}) == engine
--- a/mintsaddle/direct/_follow.py
+++ b/mintsaddle/direct/_follow.py
@@ -6,12 +6,12 @@
 from returns.result import Failure, Result, Success
 
 from mintsaddle.decisions.direct import (
-    COALESCE_SHARE,
-    RETRY_SHARE,
-    WATCH_SHARE,
+    CALL_INTERVAL_FRACTION,
+    RETRY_INTERVAL_FRACTION,
+    WATCH_WAIT_FRACTION,
     Position,
-    StoreNews,
     StorePolling,
+    StoreResponse,
 )
 from mintsaddle.direct._gateway import PLATFORM_SOURCE, Gateway, describe_position
 from mintsaddle.observe import fields, make_logger
@@ -38,7 +38,9 @@
             _Follower(gateway).run()
         except Exception:
             _log.exception("Following failed.")
-            threading.Event().wait(gateway.settings.news_within * RETRY_SHARE)
+            threading.Event().wait(
+                gateway.settings.news_within * RETRY_INTERVAL_FRACTION
+            )
 
 
 class _Follower:
@@ -59,7 +61,7 @@
                 self._poll()
             else:
                 self._rest()
-            self._gateway.drop_lapsed()
+            self._gateway.drop_expired()
 
     def _rest(self) -> None:
         # An idle connection may go silent; the next poll has no time for that.
@@ -73,7 +75,7 @@
         gateway = self._gateway
         replica = gateway.replica
         asked_at, asked, is_first = gateway.now(), replica.position, replica.is_empty
-        is_reading = is_first or self._polling.must_read
+        is_reading = is_first or self._polling.needs_full_read
         match self._ask(asked, is_reading=is_reading, is_first=is_first):
             case Success(answer):
                 gateway.metrics.count("store_answered")
@@ -82,8 +84,8 @@
                 ours = tuple(item for item in answer.items if is_ours(item.key))
                 news = answer._replace(items=ours)
                 with gateway.lock:
-                    position = self._polling.place(
-                        replica, asked, news, is_reading=is_reading
+                    position = self._polling.resolve_position(
+                        replica, asked, news, is_full_read=is_reading
                     )
                 if position is None:
                     return
@@ -98,7 +100,7 @@
                 )
                 if answer.items:
                     threading.Event().wait(
-                        gateway.settings.news_within * COALESCE_SHARE
+                        gateway.settings.news_within * CALL_INTERVAL_FRACTION
                     )
             case Failure(StoreProblem.HISTORY_GONE):
                 self._polling.record_history_gone()
@@ -108,17 +110,17 @@
                 gateway.metrics.count(f"store_{problem.value}")
                 self._polling.record_gap()
                 self._record_lost(problem)
-                pause = gateway.settings.news_within * RETRY_SHARE
+                pause = gateway.settings.news_within * RETRY_INTERVAL_FRACTION
                 threading.Event().wait(pause * (0.5 + gateway.rng.random()))
 
     def _ask(
         self, asked: Position, *, is_reading: bool, is_first: bool
-    ) -> Result[StoreNews, StoreProblem]:
+    ) -> Result[StoreResponse, StoreProblem]:
         prefix = self._gateway.replica.prefix
         if is_reading:
             may_be_old = is_first and self._may_start_old
             return self._client.read_all(prefix, may_be_old=may_be_old)
-        wait = self._gateway.settings.news_within * WATCH_SHARE
+        wait = self._gateway.settings.news_within * WATCH_WAIT_FRACTION
         return self._client.watch(prefix, asked.revision, wait)
 
     def _confirmed_at(
