--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -28,7 +28,7 @@
 )
 from mintsaddle.decisions.routing import RoutingState
 from mintsaddle.platform import decode_items
-from mintsaddle.rank_agent import AgentReply, RankAnswer, encode_reply
+from mintsaddle.rank_agent import AgentReply, RankResponse, encode_reply
 from mintsaddle.transport.proto import peer_pb2 as pb
 
 _ROUNDS = 50
@@ -186,7 +186,7 @@
     """Return the size of an agent's reply with a report and counts."""
     body = json.dumps({"counts": make_counts(experts, layers, 100)})
     report = json.dumps({"group": {"name": "g", "epoch": 1}, "step": 812, "map": 7})
-    answers = (RankAnswer(200, report), RankAnswer(200, body))
+    answers = (RankResponse(200, report), RankResponse(200, body))
     return len(encode_reply(AgentReply(1, answers)))
 
 
--- a/mintsaddle/direct/_agents.py
+++ b/mintsaddle/direct/_agents.py
@@ -12,8 +12,8 @@
     AgentMessageError,
     AgentReply,
     AgentRequest,
-    RankAnswer,
     RankCall,
+    RankResponse,
     decode_reply,
     encode_request,
 )
@@ -83,7 +83,7 @@
 
     def ask(
         self, calls: Mapping[str, Sequence[RankCall]]
-    ) -> dict[str, tuple[RankAnswer, ...]]:
+    ) -> dict[str, tuple[RankResponse, ...]]:
         """Return the answers of the engines whose agents reply in time.
 
         Args:
@@ -92,7 +92,7 @@
         waiting = {next(self._numbers): address for address in calls}
         for number, address in waiting.items():
             self._send(address, AgentRequest(number, tuple(calls[address])))
-        answers: dict[str, tuple[RankAnswer, ...]] = {}
+        answers: dict[str, tuple[RankResponse, ...]] = {}
         wait_until = time.monotonic() + self._reply_seconds
         while waiting:
             left = wait_until - time.monotonic()
@@ -100,9 +100,9 @@
                 break
             reply = self._receive()
             # A reply to an earlier request comes too late to be of use.
-            address = waiting.pop(reply.number, "") if reply else ""
-            if reply and len(reply.answers) == len(calls.get(address, ())):
-                answers[address] = reply.answers
+            address = waiting.pop(reply.sequence_number, "") if reply else ""
+            if reply and len(reply.responses) == len(calls.get(address, ())):
+                answers[address] = reply.responses
         return answers
 
     def _send(self, address: str, request: AgentRequest) -> None:
--- a/mintsaddle/direct/_rank_calls.py
+++ b/mintsaddle/direct/_rank_calls.py
@@ -31,7 +31,7 @@
     order_call,
     report_call,
 )
-from mintsaddle.rank_agent import RankAnswer, RankCall
+from mintsaddle.rank_agent import RankCall, RankResponse
 from mintsaddle.settings import DirectSettings
 from mintsaddle.values import Instant
 
@@ -75,7 +75,7 @@
 
 
 class _Answers(NamedTuple):
-    answers: tuple[RankAnswer, ...]
+    answers: tuple[RankResponse, ...]
     is_fresh: bool
 
 
@@ -237,7 +237,7 @@
         self,
         group: RankGroup,
         rank: int,
-        answer: RankAnswer,
+        answer: RankResponse,
         counts: dict[int, Popularity],
     ) -> None:
         model = group.model
--- a/mintsaddle/platform/_ranks.py
+++ b/mintsaddle/platform/_ranks.py
@@ -12,7 +12,7 @@
     OrderOutcome,
     RankReport,
 )
-from mintsaddle.rank_agent import NO_ANSWER, RankAnswer, RankCall
+from mintsaddle.rank_agent import NO_RESPONSE, RankCall, RankResponse
 
 CALL_SECONDS = 0.4
 """Seconds for an engine's answer, which needs no place there: a round trip
@@ -43,7 +43,7 @@
     return RankCall("GET", _REPORT_PATH)
 
 
-def decode_rank_report(answer: RankAnswer, rank: int) -> Result[RankReport, str]:
+def decode_rank_report(answer: RankResponse, rank: int) -> Result[RankReport, str]:
     """Return what a rank's engine says of itself.
 
     Args:
@@ -59,7 +59,7 @@
 
 
 def decode_expert_counts(
-    answer: RankAnswer, layers: int, experts: int
+    answer: RankResponse, layers: int, experts: int
 ) -> Result[tuple[tuple[int, ...], ...], str]:
     """Return how often a rank's requests chose each expert since its start."""
     decoded = _check_status(answer)
@@ -71,7 +71,9 @@
     return RankCall("GET", f"{_COUNTS_PATH}?lists=1")
 
 
-def decode_rank_experts(answer: RankAnswer) -> Result[tuple[tuple[int, ...], ...], str]:
+def decode_rank_experts(
+    answer: RankResponse,
+) -> Result[tuple[tuple[int, ...], ...], str]:
     """Return the experts that a rank holds by the map in use, by layer."""
     return _check_status(answer).bind(_decode_experts)
 
@@ -82,15 +84,15 @@
     return RankCall("POST", _ORDER_PATH, body)
 
 
-def decode_verdict(answer: RankAnswer) -> OrderOutcome:
+def decode_verdict(answer: RankResponse) -> OrderOutcome:
     """Return how a rank's engine answered an order."""
-    if answer.status == NO_ANSWER.status:
+    if answer.status == NO_RESPONSE.status:
         return OrderOutcome.UNKNOWN
     # 421 and 503 come from an engine that has nothing of ours.
     return _VERDICTS.get(answer.status, OrderOutcome.REFUSED)
 
 
-def call_rank(address: str, call: RankCall) -> RankAnswer:
+def call_rank(address: str, call: RankCall) -> RankResponse:
     """Make a call to a rank's engine from afar, on a connection of its own."""
     seconds = ORDER_SECONDS if call.body else CALL_SECONDS
     connection = http.client.HTTPConnection(address, timeout=seconds)
@@ -102,10 +104,10 @@
         text = response.read(_LARGEST_ANSWER).decode(errors="replace")
     except (OSError, http.client.HTTPException):
         # Whoever asked logs what is missing and asks again.
-        return NO_ANSWER
+        return NO_RESPONSE
     finally:
         connection.close()
-    return RankAnswer(response.status, text)
+    return RankResponse(response.status, text)
 
 
 def _encode_order(order: MapOrder) -> dict[str, Any]:
@@ -119,8 +121,8 @@
     return values
 
 
-def _check_status(answer: RankAnswer) -> Result[str, str]:
-    if answer.status == NO_ANSWER.status:
+def _check_status(answer: RankResponse) -> Result[str, str]:
+    if answer.status == NO_RESPONSE.status:
         return Failure("no answer")
     if answer.status != http.client.OK:
         return Failure(f"status {answer.status}")
--- a/mintsaddle/rank_agent/__init__.py
+++ b/mintsaddle/rank_agent/__init__.py
@@ -1,17 +1,17 @@
-"""The rank agent: a small program beside each engine of a rank group.
+"""The rank agent: a small process beside each engine of a rank group.
 
-An engine's reports and counts are fresh, and its orders cost nothing, from its
-own VM only. The agent carries such calls out for whichever entry manages the
-group's expert map.
+Reports and counts from an engine are only fresh, and orders to it only cheap,
+when the call comes from the engine's own VM. The agent makes these calls on
+behalf of whichever entry manages the group's expert map.
 """
 
 from mintsaddle.rank_agent._messages import (
-    NO_ANSWER,
+    NO_RESPONSE,
     AgentMessageError,
     AgentReply,
     AgentRequest,
-    RankAnswer,
     RankCall,
+    RankResponse,
     decode_reply,
     decode_request,
     encode_reply,
@@ -22,9 +22,9 @@
     "AgentMessageError",
     "AgentReply",
     "AgentRequest",
-    "RankAnswer",
+    "RankResponse",
     "RankCall",
-    "NO_ANSWER",
+    "NO_RESPONSE",
     "decode_reply",
     "decode_request",
     "encode_reply",
--- a/mintsaddle/rank_agent/__main__.py
+++ b/mintsaddle/rank_agent/__main__.py
@@ -2,8 +2,9 @@
 
 Usage: python -m mintsaddle.rank_agent LISTEN ENGINE PREFIX
 
-LISTEN is the IP and port for entries, ENGINE that of the engine on this VM,
-PREFIX what the path of each call to the engine begins with.
+LISTEN is the IP and port on which entries reach the agent, ENGINE the IP and
+port of the engine on this VM. Calls to engine paths that don't begin with
+PREFIX are rejected.
 """
 
 import signal
@@ -17,20 +18,20 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve until told to stop.
+    """Serve requests until SIGTERM.
 
     Args:
-        arguments: The command line without the program's name.
+        arguments: Command-line arguments without the program name.
 
     Returns:
-        The exit code: 0 after a stop that was asked for, 2 for bad arguments.
+        The exit code: 0 after a requested stop, 2 for invalid arguments.
     """
     if len(arguments) != 3:
         print(__doc__, file=sys.stderr)
         return _EXIT_USAGE
     listen, engine, prefix = arguments
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    # A changed settings file concerns entries only.
+    # SIGHUP means "reload the settings file", which only entries have.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     start_logging("INFO")
     agent = RankAgent(listen, engine, prefix)
--- a/mintsaddle/rank_agent/_agent.py
+++ b/mintsaddle/rank_agent/_agent.py
@@ -1,94 +1,101 @@
-"""Serving entries' requests, one after another, in one thread."""
+"""Single-threaded UDP server that handles requests from entries."""
 
 import socket
 from typing import NoReturn
 
 from mintsaddle.observe import fields, make_logger
-from mintsaddle.rank_agent._engine import CALL_SECONDS, EngineLink
+from mintsaddle.rank_agent._engine import CALL_TIMEOUT_SECONDS, EngineConnection
 from mintsaddle.rank_agent._messages import (
-    NO_ANSWER,
+    NO_RESPONSE,
     AgentMessageError,
     AgentReply,
     AgentRequest,
-    RankAnswer,
     RankCall,
+    RankResponse,
     decode_request,
     encode_reply,
 )
 
-_LARGEST_DATAGRAM = 65_535
-_READ = "GET"
+_MAX_DATAGRAM_BYTES = 65_535
+_READ_METHOD = "GET"
 _log = make_logger("agent")
 
 
 class RankAgent:
-    """Makes calls to the engine on its own VM for entries that ask."""
+    """Makes calls to the engine on its own VM on behalf of entries."""
 
     def __init__(
         self,
         listen: str,
         engine: str,
         prefix: str,
-        call_seconds: float = CALL_SECONDS,
+        call_timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> None:
-        """Bind the agent's address.
+        """Bind the UDP socket.
 
         Args:
-            listen: IP and port for entries' datagrams.
+            listen: IP and port on which to receive datagrams from entries.
             engine: IP and port of the engine.
-            prefix: What the path of each call has to begin with: guards
-                against callers' requests on this way round all limits.
-            call_seconds: How long an engine's answer is waited for.
+            prefix: Required prefix of each call's path. Without it, inference
+                requests could reach the engine past all admission limits.
+            call_timeout: Seconds to wait for a response from the engine.
         """
         host, _, port = listen.rpartition(":")
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((host, int(port)))
-        self._engine = EngineLink(engine, call_seconds)
+        self._engine = EngineConnection(engine, call_timeout)
         self._prefix = prefix
-        self._was_reached = True
+        self._was_reachable = True
 
     @property
     def address(self) -> str:
-        """IP and port at which entries reach it."""
+        """IP and port on which the agent receives datagrams."""
         host, port = self._socket.getsockname()
         return f"{host}:{port}"
 
     def serve(self) -> NoReturn:
-        """Answer requests for the process's life."""
+        """Handle requests until the process exits."""
         while True:
             self.serve_one()
 
     def serve_one(self) -> None:
-        """Wait for one datagram and answer it."""
-        data, sender = self._socket.recvfrom(_LARGEST_DATAGRAM)
+        """Wait for one datagram and reply to it."""
+        data, sender = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
         try:
             request = decode_request(data)
         except AgentMessageError as error:
-            _log.warning("Datagram refused %s.", fields(sender=sender, why=error))
+            _log.warning(
+                "Rejected an invalid datagram %s.", fields(sender=sender, why=error)
+            )
             return
-        reply = encode_reply(self._carry_out(request))
+        reply = encode_reply(self._handle_request(request))
         try:
             self._socket.sendto(reply, sender)
         except OSError as error:
-            # The entry takes it for lost and asks again.
-            _log.warning("Reply not sent %s.", fields(sender=sender, why=error))
+            # The entry times out and repeats its request.
+            _log.warning("Failed to send a reply %s.", fields(sender=sender, why=error))
 
-    def _carry_out(self, request: AgentRequest) -> AgentReply:
-        answers = tuple(self._call(call) for call in request.calls)
-        return AgentReply(request.number, answers)
+    def _handle_request(self, request: AgentRequest) -> AgentReply:
+        responses = tuple(self._call(call) for call in request.calls)
+        return AgentReply(request.sequence_number, responses)
 
-    def _call(self, call: RankCall) -> RankAnswer:
+    def _call(self, call: RankCall) -> RankResponse:
         if not call.path.startswith(self._prefix):
-            _log.warning("Call refused %s.", fields(path=call.path))
-            return NO_ANSWER
-        answer = self._engine.call(call)
-        if call.method != _READ:
-            _log.info("Order %s.", fields(body=call.body[:80], status=answer.status))
-        self._record_reach()
-        return answer
+            _log.warning(
+                "Rejected a call outside the path prefix %s.", fields(path=call.path)
+            )
+            return NO_RESPONSE
+        response = self._engine.call(call)
+        if call.method != _READ_METHOD:
+            _log.info(
+                "Order to the engine %s.",
+                fields(body=call.body[:80], status=response.status),
+            )
+        self._log_reachability_change()
+        return response
 
-    def _record_reach(self) -> None:
-        is_reached = self._engine.is_reached
-        if is_reached != self._was_reached:
-            self._was_reached = is_reached
-            _log.info("Engine %s.", "regained" if is_reached else "lost")
+    def _log_reachability_change(self) -> None:
+        is_reachable = self._engine.is_reachable
+        if is_reachable != self._was_reachable:
+            self._was_reachable = is_reachable
+            _log.info("Engine %s.", "regained" if is_reachable else "lost")
--- a/mintsaddle/rank_agent/_engine.py
+++ b/mintsaddle/rank_agent/_engine.py
@@ -1,52 +1,56 @@
-"""The one kept connection from an agent to the engine on its VM."""
+"""Persistent HTTP connection from an agent to the engine on its VM."""
 
 import http.client
 
-from mintsaddle.rank_agent._messages import NO_ANSWER, RankAnswer, RankCall
+from mintsaddle.rank_agent._messages import NO_RESPONSE, RankCall, RankResponse
 
-CALL_SECONDS = 0.04
-"""Seconds for an engine's answer: over loopback it takes 1 ms, and while one
-call waits the agent takes no other. An answer that comes later counts as lost:
-a group may be waiting for the order to be given again."""
+CALL_TIMEOUT_SECONDS = 0.04
+"""Seconds to wait for an engine's response, which takes 1 ms over loopback.
+The agent handles one call at a time, so a slow call delays all others. A later
+response counts as lost, since a group may be waiting for the order to be
+repeated."""
 
-_LARGEST_ANSWER = 1_048_576
+_MAX_RESPONSE_BYTES = 1_048_576
 
 
-class EngineLink:
-    """Calls one engine, one call at a time."""
+class EngineConnection:
+    """Makes calls to one engine, one at a time."""
 
-    def __init__(self, address: str, call_seconds: float = CALL_SECONDS) -> None:
-        self._connection = http.client.HTTPConnection(address, timeout=call_seconds)
-        self._is_reached = True
+    def __init__(
+        self, address: str, call_timeout: float = CALL_TIMEOUT_SECONDS
+    ) -> None:
+        self._connection = http.client.HTTPConnection(address, timeout=call_timeout)
+        self._is_reachable = True
 
     @property
-    def is_reached(self) -> bool:
-        """Whether the engine answered the last call."""
-        return self._is_reached
+    def is_reachable(self) -> bool:
+        """Whether the engine responded to the last call."""
+        return self._is_reachable
 
-    def call(self, call: RankCall) -> RankAnswer:
-        """Return the engine's answer, or ``NO_ANSWER``.
+    def call(self, call: RankCall) -> RankResponse:
+        """Return the engine's response, or ``NO_RESPONSE``.
 
-        A call that changes something isn't sent a second time here: the engine
-        may have got it, and whoever asked decides what follows.
+        Only reads are retried here. The engine may have received a call that
+        changes state, so the entry decides whether to repeat it.
         """
-        is_kept = self._connection.sock is not None
-        answer = self._try(call)
-        if answer is NO_ANSWER and is_kept and call.method == "GET":
-            # The engine closes idle connections; a fresh one may do.
-            answer = self._try(call)
-        self._is_reached = answer is not NO_ANSWER
-        return answer
-
-    def _try(self, call: RankCall) -> RankAnswer:
+        is_reused = self._connection.sock is not None
+        response = self._send(call)
+        if response is NO_RESPONSE and is_reused and call.method == "GET":
+            # The engine may have closed an idle connection: retry on a new
+            # one.
+            response = self._send(call)
+        self._is_reachable = response is not NO_RESPONSE
+        return response
+
+    def _send(self, call: RankCall) -> RankResponse:
         headers = {"Content-Type": "application/json"} if call.body else {}
         body = call.body.encode() or None
         try:
             self._connection.request(call.method, call.path, body, headers)
             response = self._connection.getresponse()
-            text = response.read(_LARGEST_ANSWER).decode()
+            text = response.read(_MAX_RESPONSE_BYTES).decode()
         except (OSError, http.client.HTTPException, UnicodeDecodeError):
-            # Not an error of the agent: ``is_reached`` tells of it.
+            # Not an error of the agent: callers check ``is_reachable``.
             self._connection.close()
-            return NO_ANSWER
-        return RankAnswer(response.status, text)
+            return NO_RESPONSE
+        return RankResponse(response.status, text)
--- a/mintsaddle/rank_agent/_messages.py
+++ b/mintsaddle/rank_agent/_messages.py
@@ -1,8 +1,9 @@
-"""What entries and rank agents send each other, one datagram each way.
+"""Messages between entries and rank agents: one datagram in each direction.
 
-Datagrams, since a kept connection may go silent for good without a reset; a
-lost one is noticed by its missing reply. Packed JSON: an order holds a whole
-map, and counts hold a number for each expert.
+The protocol uses UDP because a persistent TCP connection may go silent for
+good without a reset; the sender notices a lost datagram by the missing reply.
+Messages are compressed JSON, since an order holds a whole expert map and
+counts hold one number per expert.
 """
 
 import json
@@ -10,16 +11,17 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-MOST_BYTES = 1_048_576
-"""Bytes of an unpacked message; guards against a datagram that would unpack to
-more than the VM's memory."""
+MAX_MESSAGE_BYTES = 1_048_576
+"""Maximum size of a decompressed message. Guards against a datagram that would
+decompress to more than the VM's memory."""
 
-_PACK_LEVEL = 1
-"""zlib's fastest; numbers shrink to a third at any level."""
+_COMPRESSION_LEVEL = 1
+"""zlib's fastest level; numbers compress to a third of their size at any
+level."""
 
 
 class AgentMessageError(ValueError):
-    """A datagram that isn't a message of this protocol."""
+    """Raised when a datagram is not a valid message."""
 
 
 class RankCall(NamedTuple):
@@ -30,82 +32,84 @@
     body: str = ""
 
 
-class RankAnswer(NamedTuple):
-    """An engine's whole answer."""
+class RankResponse(NamedTuple):
+    """An engine's complete HTTP response."""
 
     status: int
     body: str = ""
 
 
-NO_ANSWER = RankAnswer(0)
-"""The engine gave no answer; it may have got the call all the same."""
+NO_RESPONSE = RankResponse(0)
+"""The engine did not respond, though it may have received the call."""
 
 
 class AgentRequest(NamedTuple):
-    """Calls that an agent is to make to its engine, in this order."""
+    """Calls for an agent to make to its engine, in this order."""
 
-    number: int
-    """Names the request in its reply."""
+    sequence_number: int
+    """Repeated in the reply, to match it to the request."""
 
     calls: tuple[RankCall, ...]
 
 
 class AgentReply(NamedTuple):
-    """The engine's answers, in the order of the calls."""
+    """The engine's responses, in the order of the calls."""
 
-    number: int
-    answers: tuple[RankAnswer, ...]
+    sequence_number: int
+    responses: tuple[RankResponse, ...]
 
 
 def encode_request(request: AgentRequest) -> bytes:
-    """Return the datagram that holds a request."""
-    return _pack(request.number, request.calls)
+    """Return a request as a datagram."""
+    return _encode(request.sequence_number, request.calls)
 
 
 def decode_request(data: bytes) -> AgentRequest:
     """Return the request in a datagram.
 
     Raises:
-        AgentMessageError: The datagram holds none.
+        AgentMessageError: The datagram is not a valid request.
     """
-    number, rows = _unpack(data)
+    sequence_number, rows = _decode(data)
     try:
         calls = tuple(RankCall(*map(str, row)) for row in rows)
     except TypeError as error:
-        raise AgentMessageError(f"no calls: {error}") from error
-    return AgentRequest(number, calls)
+        raise AgentMessageError(f"invalid calls: {error}") from error
+    return AgentRequest(sequence_number, calls)
 
 
 def encode_reply(reply: AgentReply) -> bytes:
-    """Return the datagram that holds a reply."""
-    return _pack(reply.number, reply.answers)
+    """Return a reply as a datagram."""
+    return _encode(reply.sequence_number, reply.responses)
 
 
 def decode_reply(data: bytes) -> AgentReply:
     """Return the reply in a datagram.
 
     Raises:
-        AgentMessageError: The datagram holds none.
+        AgentMessageError: The datagram is not a valid reply.
     """
-    number, rows = _unpack(data)
+    sequence_number, rows = _decode(data)
     try:
-        answers = tuple(RankAnswer(int(status), str(body)) for status, body in rows)
+        responses = tuple(RankResponse(int(status), str(body)) for status, body in rows)
     except (TypeError, ValueError) as error:
-        raise AgentMessageError(f"no answers: {error}") from error
-    return AgentReply(number, answers)
+        raise AgentMessageError(f"invalid responses: {error}") from error
+    return AgentReply(sequence_number, responses)
 
 
-def _pack(number: int, rows: Sequence[Any]) -> bytes:
-    text = json.dumps([number, rows], separators=(",", ":"))
-    return zlib.compress(text.encode(), _PACK_LEVEL)
+def _encode(sequence_number: int, rows: Sequence[Any]) -> bytes:
+    text = json.dumps([sequence_number, rows], separators=(",", ":"))
+    return zlib.compress(text.encode(), _COMPRESSION_LEVEL)
 
 
-def _unpack(data: bytes) -> tuple[int, list[Any]]:
+def _decode(data: bytes) -> tuple[int, list[Any]]:
     try:
-        unpacker = zlib.decompressobj()
-        number, rows = json.loads(unpacker.decompress(data, MOST_BYTES))
+        decompressor = zlib.decompressobj()
+        sequence_number, rows = json.loads(
+            decompressor.decompress(data, MAX_MESSAGE_BYTES)
+        )
     except (zlib.error, ValueError, TypeError) as error:
-        raise AgentMessageError(f"unreadable: {error}") from error
-    if not isinstance(number, int) or not isinstance(rows, list):
-        raise AgentMessageError("no number or no rows")
-    return number, rows
+        raise AgentMessageError(f"not compressed JSON: {error}") from error
+    if not isinstance(sequence_number, int) or not isinstance(rows, list):
+        raise AgentMessageError("not a sequence number followed by a list")
+    return sequence_number, rows
--- a/mintsaddle/rank_agent/tests/standins.py
+++ b/mintsaddle/rank_agent/tests/standins.py
@@ -1,4 +1,4 @@
-"""A stand-in of a rank's engine, as far as agents and their tests need it."""
+"""A fake rank engine with the HTTP behaviour that agents depend on."""
 
 import json
 import threading
@@ -10,14 +10,14 @@
 
 
 class Engine:
-    """An engine that notes calls; breaks or closes connections when told."""
+    """HTTP server that records calls and can break or close connections."""
 
     def __init__(self, show: Callable[[str], Any] | None = None) -> None:
-        """Serve on a port of its own.
+        """Start serving on a free port.
 
         Args:
-            show: Returns what a call to a path is answered with; the number of
-                calls so far if there is none.
+            show: Returns the response body for a path. By default, the body
+                holds the number of calls so far.
         """
         self.calls: list[RankCall] = []
         self.connections = 0
@@ -54,7 +54,8 @@
                 self.send_header("Content-Length", str(len(body)))
                 self.end_headers()
                 self.wfile.write(body)
-                # Without notice, as engines close idle connections.
+                # Without a ``Connection: close`` header, as engines close
+                # idle connections.
                 self.close_connection = engine.is_closing
 
         self._server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
--- a/mintsaddle/rank_agent/tests/test_agent.py
+++ b/mintsaddle/rank_agent/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Agents beside stand-ins of engines, and entries that ask them."""
+"""Rank agents that serve entries, with fake engines behind them."""
 
 import signal
 import socket
@@ -11,22 +11,22 @@
 
 from mintsaddle.direct._agents import AgentLink
 from mintsaddle.rank_agent import (
-    NO_ANSWER,
+    NO_RESPONSE,
     AgentReply,
-    RankAnswer,
     RankCall,
+    RankResponse,
     decode_request,
     encode_reply,
 )
 from mintsaddle.rank_agent._agent import RankAgent
-from mintsaddle.rank_agent._engine import EngineLink
+from mintsaddle.rank_agent._engine import EngineConnection
 from mintsaddle.rank_agent.tests.standins import Engine
 
 REPORT = RankCall("GET", "/rank/report")
 ORDER = RankCall("POST", "/rank/order", '{"op":"go"}')
 
 TIMEOUT = 3.0
-"""Seconds for answers that do come, however busy the machine is."""
+"""Seconds to wait for expected responses, enough for a busy machine."""
 
 
 @pytest.fixture
@@ -55,22 +55,22 @@
         answers = link.ask({agent.address: [REPORT, ORDER]})
         assert answers == {
             agent.address: (
-                RankAnswer(200, '{"step": 1}'),
-                RankAnswer(200, '{"step": 2}'),
+                RankResponse(200, '{"step": 1}'),
+                RankResponse(200, '{"step": 2}'),
             )
         }
         link.ask({agent.address: [REPORT]})
         assert engine.calls == [REPORT, ORDER, REPORT]
         assert engine.connections == 1
 
-    def test_callers_paths_are_not_reached_through_an_agent(
+    def test_paths_outside_the_prefix_are_rejected(
         self, engine: Engine, agent: RankAgent, link: AgentLink
     ) -> None:
         asked = link.ask({agent.address: [RankCall("POST", "/letter/1", "x")]})
-        assert asked == {agent.address: (NO_ANSWER,)}
+        assert asked == {agent.address: (NO_RESPONSE,)}
         assert engine.calls == []
 
-    def test_garbage_doesnt_end_an_agent(
+    def test_an_invalid_datagram_doesnt_stop_an_agent(
         self, engine: Engine, agent: RankAgent, link: AgentLink
     ) -> None:
         host, _, port = agent.address.rpartition(":")
@@ -81,21 +81,25 @@
 
 class TestLostAnswers:
     def test_a_read_is_repeated_on_a_fresh_connection(self, engine: Engine) -> None:
-        """A group looks lost each time that its engine closes a connection."""
+        """Guards against a group that looks down after an idle close.
+
+        The engine closes the connection after each response, so the next read
+        fails on it.
+        """
         engine.is_closing = True
-        link = EngineLink(engine.address, TIMEOUT)
+        link = EngineConnection(engine.address, TIMEOUT)
         assert [link.call(REPORT).status for _ in range(3)] == [200] * 3
-        assert link.is_reached
+        assert link.is_reachable
 
     def test_an_order_is_not_sent_twice(self, engine: Engine) -> None:
-        """Guards against an order repeated by the agent after newer ones."""
+        """Guards against an agent that repeats an order after newer ones."""
         engine.is_breaking = True
-        link = EngineLink(engine.address, TIMEOUT)
-        assert link.call(ORDER) is NO_ANSWER
+        link = EngineConnection(engine.address, TIMEOUT)
+        assert link.call(ORDER) is NO_RESPONSE
         assert engine.calls == [ORDER]
-        assert not link.is_reached
+        assert not link.is_reachable
 
-    def test_a_silent_agent_doesnt_hold_up_the_others(
+    def test_an_unresponsive_agent_doesnt_delay_the_others(
         self, agent: RankAgent, link: AgentLink
     ) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
@@ -104,23 +108,23 @@
             answers = link.ask({f"{host}:{port}": [REPORT], agent.address: [REPORT]})
         assert list(answers) == [agent.address]
 
-    def test_a_late_reply_isnt_taken_for_another_requests(
+    def test_a_late_reply_isnt_matched_to_another_request(
         self, link: AgentLink
     ) -> None:
-        """A report from before an order is taken for one from after it."""
+        """Guards against a report from before an order counted as newer."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as agent:
             agent.bind(("127.0.0.1", 0))
             host, port = agent.getsockname()
             address = f"{host}:{port}"
             assert link.ask({address: [REPORT]}) == {}
             data, sender = agent.recvfrom(65_535)
-            number = decode_request(data).number
-            agent.sendto(encode_reply(AgentReply(number, (NO_ANSWER,))), sender)
+            number = decode_request(data).sequence_number
+            agent.sendto(encode_reply(AgentReply(number, (NO_RESPONSE,))), sender)
             assert link.ask({address: [REPORT]}) == {}
 
 
 class TestProgram:
-    def test_it_serves_until_it_is_told_to_stop(self, engine: Engine) -> None:
+    def test_it_serves_until_sigterm(self, engine: Engine) -> None:
         process = subprocess.Popen(
             [
                 sys.executable,
@@ -140,7 +144,7 @@
         assert "[agent] Stopped" in process.stdout.read()
         assert process.wait(10) == 0
 
-    def test_bad_arguments_are_told(self) -> None:
+    def test_invalid_arguments_print_usage(self) -> None:
         done = subprocess.run(
             [sys.executable, "-m", "mintsaddle.rank_agent", "only-one"],
             capture_output=True,
--- a/mintsaddle/rank_agent/tests/test_messages.py
+++ b/mintsaddle/rank_agent/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries and rank agents."""
+"""Encoding and decoding of messages between entries and rank agents."""
 
 import zlib
 
@@ -10,8 +10,8 @@
     AgentMessageError,
     AgentReply,
     AgentRequest,
-    RankAnswer,
     RankCall,
+    RankResponse,
     decode_reply,
     decode_request,
     encode_reply,
@@ -19,7 +19,7 @@
 )
 
 CALLS = st.builds(RankCall, st.sampled_from(["GET", "POST"]), st.text(), st.text())
-ANSWERS = st.builds(RankAnswer, st.integers(0, 599), st.text())
+ANSWERS = st.builds(RankResponse, st.integers(0, 599), st.text())
 
 
 class TestRoundTrips:
@@ -34,13 +34,13 @@
     @settings(derandomize=True)
     @given(st.integers(), st.lists(ANSWERS, max_size=4))
     def test_a_reply_arrives_as_it_was_sent(
-        self, number: int, answers: list[RankAnswer]
+        self, number: int, answers: list[RankResponse]
     ) -> None:
         reply = AgentReply(number, tuple(answers))
         assert decode_reply(encode_reply(reply)) == reply
 
 
-class TestGarbage:
+class TestInvalidDatagrams:
     @pytest.mark.parametrize(
         "data",
         [
@@ -54,13 +54,13 @@
             encode_request(AgentRequest(1, ()))[:-6],
         ],
     )
-    def test_a_datagram_that_is_no_message_is_told_as_such(self, data: bytes) -> None:
+    def test_an_invalid_datagram_raises_a_message_error(self, data: bytes) -> None:
         for decode in (decode_request, decode_reply):
             with pytest.raises(AgentMessageError):
                 decode(data)
 
-    def test_a_small_datagram_may_not_unpack_to_a_large_one(self) -> None:
-        """An agent is ended for its memory by one datagram of a few bytes."""
+    def test_decompressed_size_is_limited(self) -> None:
+        """Guards against a small datagram that exhausts the agent's memory."""
         packed = zlib.compress(b"[1,[" + b" " * 50_000_000 + b"]]", 9)
         assert len(packed) < 65_000
         with pytest.raises(AgentMessageError):
