--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,7 +41,7 @@
     record_sent,
 )
 from mintsaddle.fleet import NO_MARKS, Fleet, read_fleet
-from mintsaddle.observe import HistogramBook, HistogramName, Measure
+from mintsaddle.observe import HistogramKey, HistogramRegistry, Measure
 from mintsaddle.values import Load, issue_key
 
 NOW = 1_800_000_000.0
@@ -228,14 +228,16 @@
 def measure_histograms(count: int) -> None:
     """Print what a histogram costs."""
 
-    def make() -> HistogramBook:
-        book = HistogramBook(count)
+    def make() -> HistogramRegistry:
+        book = HistogramRegistry(count)
         for number in range(count):
-            book.record(HistogramName(f"w{number}", "c", Measure.FIRST), 0.1)
+            book.record(
+                HistogramKey(f"w{number}", "c", Measure.TIME_TO_FIRST_BYTE), 0.1
+            )
         return book
 
     book = make()
-    name = HistogramName("w0", "c", Measure.FIRST)
+    name = HistogramKey("w0", "c", Measure.TIME_TO_FIRST_BYTE)
     seconds = timed(lambda: book.record(name, 0.1), 2000)
     print(
         f"histogram {count}: {sized(make) / count / 1e3:.1f} kB each,"
--- a/mintsaddle/cli/_remote.py
+++ b/mintsaddle/cli/_remote.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Result, Success
 
 from mintsaddle.cli._output import Output, Table
-from mintsaddle.observe import HistogramName, Measure, Summary, merge_encoded
+from mintsaddle.observe import HistogramKey, HistogramSummary, Measure, merge_encoded
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.transport.proto.peer_grpc import PeerStub
 
@@ -27,7 +27,7 @@
 
 def show_histograms(addresses: tuple[str, ...]) -> Result[Output, str]:
     """Show the histograms of some daemons, merged by name."""
-    encoded: dict[HistogramName, list[bytes]] = defaultdict(list)
+    encoded: dict[HistogramKey, list[bytes]] = defaultdict(list)
     for address in addresses:
         match _ask(address, lambda stub: stub.ShowHistograms(pb.StatusRequest())):
             case Failure(problem):
@@ -35,7 +35,7 @@
             case Success(reply):
                 for part in reply.histograms:
                     measure = Measure(part.measure)
-                    name = HistogramName(part.workspace, part.work_class, measure)
+                    name = HistogramKey(part.workspace, part.work_class, measure)
                     encoded[name].append(part.encoded)
     merged = [merge_encoded(tuple(parts), name) for name, parts in encoded.items()]
     return Success(Output((_tabulate_histograms(merged),)))
@@ -103,19 +103,19 @@
     return Output(tables, bad)
 
 
-def _tabulate_histograms(summaries: list[Summary]) -> Table:
+def _tabulate_histograms(summaries: list[HistogramSummary]) -> Table:
     rows = tuple(
         (
-            item.name.workspace,
-            item.name.work_class,
-            item.name.measure.value,
-            item.total,
+            item.key.workspace,
+            item.key.work_class,
+            item.key.measure.value,
+            item.total_count,
             item.p50,
             item.p95,
             item.p99,
-            item.largest,
+            item.max_value,
         )
-        for item in sorted(summaries, key=lambda item: item.name[:2])
+        for item in sorted(summaries, key=lambda item: item.key[:2])
     )
     heading = ("workspace", "class", "measure", "count", "p50", "p95", "p99", "max")
     return Table("milliseconds", heading, rows)
--- a/mintsaddle/daemon/_node.py
+++ b/mintsaddle/daemon/_node.py
@@ -22,7 +22,7 @@
     must_wait_for_text,
 )
 from mintsaddle.fleet import read_fleet
-from mintsaddle.observe import HistogramBook, make_logger
+from mintsaddle.observe import HistogramRegistry, make_logger
 from mintsaddle.settings import Settings
 from mintsaddle.transport import (
     ChannelPool,
@@ -66,7 +66,7 @@
         self._configuration = ConfigurationState()
         self._channels = ChannelPool()
         self._helpers = ThreadPoolExecutor(_HELPERS, "helper")
-        self._book = HistogramBook()
+        self._book = HistogramRegistry()
         self._gate = StartGate(frozenset(), give_up_at=self._boot_at + _GATE_TIMEOUT)
         self._changed = asyncio.Event()
         self._followers: list[Callable[[], None]] = []
@@ -117,7 +117,7 @@
         return self._helpers
 
     @property
-    def book(self) -> HistogramBook:
+    def book(self) -> HistogramRegistry:
         """Histograms of this daemon."""
         return self._book
 
--- a/mintsaddle/daemon/_peers.py
+++ b/mintsaddle/daemon/_peers.py
@@ -104,14 +104,14 @@
         reply = pb.HistogramReply(stamp=write_stamp(self._node.stamp()))
         for summary in self._node.book.summarise():
             reply.histograms.add(
-                workspace=summary.name.workspace,
-                work_class=summary.name.work_class,
-                measure=summary.name.measure.value,
-                count=summary.total,
+                workspace=summary.key.workspace,
+                work_class=summary.key.work_class,
+                measure=summary.key.measure.value,
+                count=summary.total_count,
                 p50=summary.p50,
                 p95=summary.p95,
                 p99=summary.p99,
-                largest=summary.largest,
+                largest=summary.max_value,
                 encoded=summary.encoded,
             )
         await stream.send_message(reply)
--- a/mintsaddle/direct/_app.py
+++ b/mintsaddle/direct/_app.py
@@ -21,7 +21,7 @@
 from mintsaddle.direct._runner import CallRunner
 from mintsaddle.direct._timing import StreamTiming
 from mintsaddle.direct._watchdog import Watchdog
-from mintsaddle.observe import HistogramName, Measure, fields, make_logger
+from mintsaddle.observe import HistogramKey, Measure, fields, make_logger
 from mintsaddle.platform import CallerHead, make_refusal, read_caller_head
 from mintsaddle.values import Instant, Outcome, Reason
 
@@ -137,8 +137,8 @@
             return ()
         match answer:
             case WholeAnswer(status, headers, body):
-                self._record(call, Measure.FIRST)
-                self._record(call, Measure.WHOLE)
+                self._record(call, Measure.TIME_TO_FIRST_BYTE)
+                self._record(call, Measure.TOTAL_TIME)
                 self._log_end(runner.call, "answered", status)
                 length = ("Content-Length", str(len(body)))
                 start(f"{status} From endpoint", [*headers, length])
@@ -156,7 +156,7 @@
         try:
             for data in events:
                 if timing.first is None:
-                    self._record(runner.call, Measure.FIRST)
+                    self._record(runner.call, Measure.TIME_TO_FIRST_BYTE)
                 timing.record_event(self._gateway.now())
                 yield data
             ending = "streamed"
@@ -168,7 +168,7 @@
             ending = "cut"
             raise
         finally:
-            self._record(runner.call, Measure.WHOLE)
+            self._record(runner.call, Measure.TOTAL_TIME)
             self._log_end(runner.call, ending, 200, timing)
 
     def _end(
@@ -230,7 +230,7 @@
             return advise_retry(seconds_left, wished, gateway.rng)
 
     def _record(self, call: DirectCall, measure: Measure) -> None:
-        name = HistogramName(call.workspace or "none", call.route.name, measure)
+        name = HistogramKey(call.workspace or "none", call.route.name, measure)
         self._gateway.metrics.record(name, self._gateway.now() - call.arrived_at)
 
     def _log_end(
--- a/mintsaddle/entry/_http.py
+++ b/mintsaddle/entry/_http.py
@@ -36,7 +36,7 @@
     read_target,
 )
 from mintsaddle.fleet import Service
-from mintsaddle.observe import HistogramName, Measure, make_logger
+from mintsaddle.observe import HistogramKey, Measure, make_logger
 from mintsaddle.values import Instant, Outcome, Reason
 
 _Environ: TypeAlias = dict[str, Any]
@@ -266,9 +266,13 @@
         self, call: EntryCall, first: list[float], gaps: list[float], whole: float
     ) -> None:
         request = call.request
-        values = {Measure.FIRST: first, Measure.GAP: gaps, Measure.WHOLE: [whole]}
+        values = {
+            Measure.TIME_TO_FIRST_BYTE: first,
+            Measure.STREAM_GAP: gaps,
+            Measure.TOTAL_TIME: [whole],
+        }
         for measure, seconds in values.items():
-            name = HistogramName(request.workspace, request.service.work_class, measure)
+            name = HistogramKey(request.workspace, request.service.work_class, measure)
             for value in seconds:
                 self._node.book.record(name, value)
 
--- a/mintsaddle/observe/__init__.py
+++ b/mintsaddle/observe/__init__.py
@@ -1,19 +1,19 @@
-"""Histograms for each workspace and class, and logs with a fixed prefix."""
+"""Latency histograms per workspace and work class, and structured logging."""
 
 from mintsaddle.observe._histograms import (
-    HistogramBook,
-    HistogramName,
+    HistogramKey,
+    HistogramRegistry,
+    HistogramSummary,
     Measure,
-    Summary,
     merge_encoded,
 )
 from mintsaddle.observe._logs import fields, make_logger, start_logging, stop_logging
 
 __all__ = [
-    "HistogramBook",
-    "HistogramName",
+    "HistogramRegistry",
+    "HistogramKey",
     "Measure",
-    "Summary",
+    "HistogramSummary",
     "fields",
     "make_logger",
     "merge_encoded",
--- a/mintsaddle/observe/_logs.py
+++ b/mintsaddle/observe/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences, each with the fixed prefix of its part."""
+"""Logging in one format, with the component as prefix of each message."""
 
 import json
 import logging
@@ -7,8 +7,9 @@
 import sys
 from typing import Any
 
-MOST_LINES = 2_000
-"""Lines that wait for being written; about 0.5 MB, some seconds of a burst."""
+MAX_QUEUED_LINES = 2_000
+"""Capacity of the queue of unwritten lines: about 0.5 MB, or a burst of some
+seconds."""
 
 _FORMAT = "%(asctime)s %(levelname)s %(message)s"
 
@@ -16,33 +17,33 @@
 class _PrefixAdapter(logging.LoggerAdapter[logging.Logger]):
     def process(self, msg: Any, kwargs: Any) -> tuple[str, Any]:
         assert self.extra is not None
-        return f"[{self.extra['part']}] {msg}", kwargs
+        return f"[{self.extra['component']}] {msg}", kwargs
 
 
-def make_logger(part: str) -> logging.LoggerAdapter[logging.Logger]:
-    """Return the logger of one part; each line starts with the part."""
-    logger = logging.getLogger(f"mintsaddle.{part}")
-    return _PrefixAdapter(logger, {"part": part})
+def make_logger(component: str) -> logging.LoggerAdapter[logging.Logger]:
+    """Return a logger that prefixes each message with ``[component]``."""
+    logger = logging.getLogger(f"mintsaddle.{component}")
+    return _PrefixAdapter(logger, {"component": component})
 
 
 class _BoundedHandler(logging.handlers.QueueHandler):
-    """Puts lines into a bounded buffer and counts those that don't fit.
+    """Puts records into a bounded queue and counts the dropped ones.
 
-    Guards against an output that is read slowly: a thread that serves a caller
-    would wait for it.
+    Otherwise, a slow reader of standard output would block the threads that
+    serve callers.
     """
 
     def __init__(self) -> None:
-        super().__init__(queue.Queue(MOST_LINES))
+        super().__init__(queue.Queue(MAX_QUEUED_LINES))
         self._dropped = 0
 
     @property
     def dropped(self) -> int:
-        """Lines that didn't fit so far."""
+        """Number of records dropped so far because the queue was full."""
         return self._dropped
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Put a line into the buffer, or drop it."""
+        """Put a record into the queue, or drop it if the queue is full."""
         try:
             self.queue.put_nowait(record)
         except queue.Full:
@@ -50,21 +51,23 @@
 
 
 class _Writer(logging.handlers.QueueListener):
-    """The one thread that writes; it says how many lines were dropped."""
+    """Writes queued records in its own thread and reports dropped ones."""
 
     def __init__(self, source: _BoundedHandler) -> None:
         output = logging.StreamHandler(sys.stdout)
         output.setFormatter(logging.Formatter(_FORMAT))
         super().__init__(source.queue, output)
         self._source = source
-        self._told = 0
+        self._reported = 0
 
     def handle(self, record: logging.LogRecord) -> None:
-        """Write a line."""
+        """Write a record, with the number of lines dropped before it."""
         dropped = self._source.dropped
-        if dropped > self._told:
-            record.msg = f"({dropped - self._told} lines dropped before) {record.msg}"
-            self._told = dropped
+        if dropped > self._reported:
+            record.msg = (
+                f"({dropped - self._reported} lines dropped before) {record.msg}"
+            )
+            self._reported = dropped
         super().handle(record)
 
 
@@ -72,9 +75,9 @@
 
 
 def start_logging(level: str) -> None:
-    """Send the program's logs to standard output, by a thread of their own."""
+    """Write logs to standard output from a dedicated thread."""
     handler = _BoundedHandler()
-    # The writer adds date and level; else both would be there twice.
+    # The writer adds the date and level, which would otherwise appear twice.
     handler.setFormatter(logging.Formatter("%(message)s"))
     writer = _Writer(handler)
     writer.start()
@@ -83,16 +86,17 @@
 
 
 def stop_logging() -> None:
-    """Write what is still in the buffer."""
+    """Write the queued records and stop the writer threads."""
     while _writers:
         _writers.pop().stop()
     logging.shutdown()
 
 
 def fields(**values: object) -> str:
-    """Return ``key=value`` pairs, the structured part of a line.
+    """Return ``key=value`` pairs, the structured part of a log line.
 
-    A value with a space is quoted, so that a line splits at spaces.
+    Values that are empty or contain a space are quoted, so that a line can be
+    split at spaces.
     """
     return " ".join(f"{key}={_render(value)}" for key, value in values.items())
 
