--- a/mintsaddle/endpoint/_workers.py
+++ b/mintsaddle/endpoint/_workers.py
@@ -6,7 +6,7 @@
 from mintsaddle.decisions.arrivals import EngineResult
 from mintsaddle.endpoint._mailbox import Mailbox
 from mintsaddle.endpoint._words import Broken, Chunk, End, Head, Refused, Word
-from mintsaddle.engines import EngineCall, EngineEnd, EngineHead
+from mintsaddle.engines import EngineCall, EngineCallResult, EngineHead
 from mintsaddle.values import Claim, Reason, Refusal
 
 if TYPE_CHECKING:
@@ -87,19 +87,21 @@
     post(host.see_end, request_id, result, None)
 
 
-def _judge(end: EngineEnd, *, overloaded: bool, in_time: bool) -> EngineFeedback:
+def _judge(end: EngineCallResult, *, overloaded: bool, in_time: bool) -> EngineFeedback:
     if overloaded:
         return EngineFeedback.OVERLOADED
-    if not end.whole:
+    if not end.is_complete:
         return EngineFeedback.FAILED
     return EngineFeedback.GOOD if in_time else EngineFeedback.SLOW
 
 
-def _last_word(end: EngineEnd, count: int, *, overloaded: bool, now: float) -> Word:
+def _last_word(
+    end: EngineCallResult, count: int, *, overloaded: bool, now: float
+) -> Word:
     if overloaded:
         return Refused(Refusal(Claim.NEVER, Reason.FULL, now + _BACK_SOON))
     if not end.reached:
         return Refused(Refusal(Claim.NEVER, Reason.ENGINE_DOWN, now + _BACK_SOON))
-    if not end.whole:
+    if not end.is_complete:
         return Broken(Reason.ENGINE_FAILED)
     return End(count)
--- a/mintsaddle/engines/_calls.py
+++ b/mintsaddle/engines/_calls.py
@@ -1,4 +1,4 @@
-"""One call to an engine: its head, its chunks, and how it ended."""
+"""One HTTP call to an engine: response head, body chunks and result."""
 
 import http.client
 import socket
@@ -9,89 +9,93 @@
 
 EVENT_STREAM = "text/event-stream"
 
-_BLOCK = 65_536
-_EVENT_END = b"\n\n"
-_END_EVENT = b"event: end\n"
-_END_DATA = b"data: [DONE]"
+_BLOCK_BYTES = 65_536
+_EVENT_SEPARATOR = b"\n\n"
+_END_EVENT_PREFIX = b"event: end\n"
+_DONE_EVENT_PREFIX = b"data: [DONE]"
 
 
 class EngineRequest(NamedTuple):
-    """What is sent to the engine."""
+    """An HTTP request to the engine."""
 
     method: str
     path: str
     headers: Mapping[str, str]
     body: bytes
-    deadline: float
-    """Seconds that the connection may stay silent."""
+    silence_timeout: float
+    """Maximum number of seconds without data on the connection."""
 
 
 class EngineHead(NamedTuple):
-    """The engine's status line and the headers that matter."""
+    """Status code and relevant headers of the engine's response."""
 
     status: int
     content_type: str
     boot: int | None
 
 
-class EngineEnd(NamedTuple):
-    """How a call ended."""
+class EngineCallResult(NamedTuple):
+    """The result of a call."""
 
     reached: bool
     """Whether any byte of the request may have reached the engine."""
 
-    whole: bool
-    """Whether the answer came to its end."""
+    is_complete: bool
+    """Whether the response was received to its end."""
 
-    chunks: int
-    """Chunks given on."""
+    chunk_count: int
+    """Number of chunks passed to the callback."""
 
 
-OnHead: TypeAlias = Callable[[EngineHead], None]
-OnChunk: TypeAlias = Callable[[bytes], None]
+HeadCallback: TypeAlias = Callable[[EngineHead], None]
+ChunkCallback: TypeAlias = Callable[[bytes], None]
 
 
 class EngineCall:
-    """One call, run in a worker thread and cancelled from another one."""
+    """A call that runs in one thread and can be cancelled from another."""
 
     def __init__(self, address: str, request: EngineRequest) -> None:
         self._request = request
-        # A connection of its own for each call: a write on a kept-alive one
-        # that the engine has closed can't tell whether the request arrived,
+        # Each call opens a new connection: a write on a persistent one
+        # that the engine has closed doesn't show whether the request arrived,
         # which would leave an order in doubt.
-        self._connection = http.client.HTTPConnection(address, timeout=request.deadline)
+        self._connection = http.client.HTTPConnection(
+            address, timeout=request.silence_timeout
+        )
         self._socket: socket.socket | None = None
         self._cancelled = False
 
-    def run(self, on_head: OnHead, on_chunk: OnChunk) -> EngineEnd:
-        """Send the request and give on what comes back."""
+    def run(self, on_head: HeadCallback, on_chunk: ChunkCallback) -> EngineCallResult:
+        """Send the request and pass the response to the callbacks."""
         try:
             self._connection.connect()
         except OSError:
-            return EngineEnd(reached=False, whole=False, chunks=0)
-        # http.client forgets the socket once an answer without a length has
-        # begun; without it a cancelled stream would run on in the engine.
+            return EngineCallResult(reached=False, is_complete=False, chunk_count=0)
+        # http.client drops its reference to the socket when a response without
+        # a length starts; ``cancel`` needs the socket to stop the stream.
         self._socket = self._connection.sock
         count = 0
         try:
-            # Cancelled before the first byte left: the engine never saw it.
+            # Cancelled before any byte was sent to the engine.
             if self._cancelled:
-                return EngineEnd(reached=False, whole=False, chunks=0)
+                return EngineCallResult(reached=False, is_complete=False, chunk_count=0)
             with self._send() as response:
                 on_head(_read_head(response))
                 for chunk in _read_chunks(response):
                     if chunk is None:
-                        return EngineEnd(reached=True, whole=True, chunks=count)
+                        return EngineCallResult(
+                            reached=True, is_complete=True, chunk_count=count
+                        )
                     count += 1
                     on_chunk(chunk)
         except (OSError, http.client.HTTPException):
-            return EngineEnd(reached=True, whole=False, chunks=count)
+            return EngineCallResult(reached=True, is_complete=False, chunk_count=count)
         finally:
             self._connection.close()
-        return EngineEnd(reached=True, whole=False, chunks=count)
+        return EngineCallResult(reached=True, is_complete=False, chunk_count=count)
 
     def cancel(self) -> None:
-        """Break the connection, which tells the engine to stop."""
+        """Shut the connection down, so that the engine stops its work."""
         self._cancelled = True
         shut_down(self._socket)
 
@@ -113,35 +117,35 @@
 
 
 def _read_chunks(response: http.client.HTTPResponse) -> Iterator[bytes | None]:
-    """Give the chunks and then None; an answer that is cut gives no None."""
+    """Yield the chunks, then None if the response is complete."""
     content_type = response.headers.get("Content-Type", "")
     if content_type.startswith(EVENT_STREAM):
         yield from _read_events(response)
         return
-    block = response.read(_BLOCK)
+    block = response.read(_BLOCK_BYTES)
     while block:
         yield block
-        block = response.read(_BLOCK)
-    # Read in blocks, http.client ends a body that was cut like a whole one;
-    # what is left of its length tells them apart.
+        block = response.read(_BLOCK_BYTES)
+    # When reading in blocks, http.client doesn't report a truncated body; the
+    # remaining length shows it.
     if not response.length:
         yield None
 
 
 def _read_events(response: http.client.HTTPResponse) -> Iterator[bytes | None]:
-    """Give each server-sent event; the engine's end event becomes None.
+    """Yield each server-sent event, then None for the engine's end event.
 
-    A stream that ends without it was cut, however cleanly the connection
-    closed.
+    A stream without an end event was truncated, even if the connection closed
+    cleanly.
     """
     rest = b""
     while True:
-        block = response.read1(_BLOCK)
+        block = response.read1(_BLOCK_BYTES)
         if not block:
             return
-        *events, rest = (rest + block).split(_EVENT_END)
+        *events, rest = (rest + block).split(_EVENT_SEPARATOR)
         for event in events:
-            if event.startswith((_END_EVENT, _END_DATA)):
+            if event.startswith((_END_EVENT_PREFIX, _DONE_EVENT_PREFIX)):
                 yield None
                 return
-            yield event + _EVENT_END
+            yield event + _EVENT_SEPARATOR
--- a/mintsaddle/engines/_probe.py
+++ b/mintsaddle/engines/_probe.py
@@ -1,4 +1,4 @@
-"""Looking at an engine's run, and giving it orders for its rank group."""
+"""Health probes of an engine and orders for its rank group."""
 
 import http.client
 import json
@@ -6,53 +6,54 @@
 
 from returns.result import Failure, Result, Success
 
-PROBE_TIMEOUT = 0.4
-"""Seconds; a sight must be fresher than the fastest restart."""
+PROBE_TIMEOUT_SECONDS = 0.4
+"""Bounds the age of a probe result below the time of the fastest restart."""
 
-PLAIN_BOOT = 1
-"""Boot of a service that tells none."""
+DEFAULT_BOOT = 1
+"""Boot number of a service that doesn't report one."""
 
-_LARGEST_ANSWER = 16 * 1_048_576
+_MAX_RESPONSE_BYTES = 16 * 1_048_576
 
 
-class EngineSight(NamedTuple):
-    """An engine that answered."""
+class EngineStatus(NamedTuple):
+    """What an engine reported in response to a probe."""
 
     boot: int
     limit: int | None
-    """What it says that it bears, if it does."""
+    """The number of concurrent requests it accepts, if it reports one."""
 
 
-def probe_engine(address: str) -> Result[EngineSight, bool]:
-    """Look at an engine.
+def probe_engine(address: str) -> Result[EngineStatus, bool]:
+    """Request the status of an engine.
 
     Returns:
-        The engine's run; a failure with True if it refused the connection,
-        which means that its process is gone, or False if it was only silent.
+        The engine's status; a failure with True if it refused the connection,
+        which means that its process is gone, or with False if it only didn't
+        respond.
     """
-    connection = http.client.HTTPConnection(address, timeout=PROBE_TIMEOUT)
+    connection = http.client.HTTPConnection(address, timeout=PROBE_TIMEOUT_SECONDS)
     try:
         connection.request("GET", "/status")
         response = connection.getresponse()
-        body = response.read(_LARGEST_ANSWER)
+        body = response.read(_MAX_RESPONSE_BYTES)
     except ConnectionRefusedError:
         return Failure(True)
     except (OSError, http.client.HTTPException):
         return Failure(False)
     finally:
         connection.close()
-    return Success(_read_sight(body))
+    return Success(_parse_status(body))
 
 
 def send_group_order(
-    address: str, act: str, order: dict[str, Any]
+    address: str, action: str, order: dict[str, Any]
 ) -> Result[dict[str, Any], str]:
-    """Give a rank's engine a group order; return what it reads back."""
-    connection = http.client.HTTPConnection(address, timeout=PROBE_TIMEOUT * 5)
+    """Send a group order to a rank's engine and return its response."""
+    connection = http.client.HTTPConnection(address, timeout=PROBE_TIMEOUT_SECONDS * 5)
     try:
-        connection.request("POST", f"/group/{act}", json.dumps(order))
+        connection.request("POST", f"/group/{action}", json.dumps(order))
         response = connection.getresponse()
-        answer = json.loads(response.read(_LARGEST_ANSWER))
+        answer = json.loads(response.read(_MAX_RESPONSE_BYTES))
     except (OSError, http.client.HTTPException, ValueError) as error:
         return Failure(type(error).__name__)
     finally:
@@ -62,12 +63,12 @@
     return Success(answer)
 
 
-def _read_sight(body: bytes) -> EngineSight:
+def _parse_status(body: bytes) -> EngineStatus:
     try:
         answer = json.loads(body)
         limit = answer.get("limit")
-        return EngineSight(int(answer["boot"]), int(limit) if limit else None)
+        return EngineStatus(int(answer["boot"]), int(limit) if limit else None)
     except (ValueError, TypeError, KeyError, AttributeError):
-        # A plain service: it lives, and its restarts show as refused
-        # connections only.
-        return EngineSight(PLAIN_BOOT, None)
+        # A plain service is up, and its restarts only show as refused
+        # connections.
+        return EngineStatus(DEFAULT_BOOT, None)
--- a/mintsaddle/engines/_sockets.py
+++ b/mintsaddle/engines/_sockets.py
@@ -1,17 +1,17 @@
-"""Ending a connection that another thread reads from."""
+"""Shutdown of a connection that another thread reads from."""
 
 import socket
 
 
 def shut_down(connection: socket.socket | None) -> None:
-    """Break a connection, which tells the engine to stop.
+    """Shut a connection down, so that the engine stops its work.
 
-    Closing it instead would leave a thread that reads from it waiting.
+    Closing the socket instead would leave a reading thread blocked.
     """
     if connection is None:
         return
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # The engine has closed it already: nothing is left to stop.
+        # The engine has already closed the connection.
         return
--- a/mintsaddle/engines/tests/test_calls.py
+++ b/mintsaddle/engines/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to an engine, against a small server that misbehaves as told."""
+"""Calls to a fake engine that can truncate or withhold its response."""
 
 import socket
 import threading
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mintsaddle.engines import EngineCall, EngineEnd, EngineHead, EngineRequest
+from mintsaddle.engines import EngineCall, EngineCallResult, EngineHead, EngineRequest
 
 REQUEST = EngineRequest("POST", "/draft", {}, b"{}", 5.0)
 STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nEngine-Boot: 7\r\n"
@@ -15,33 +15,39 @@
 
 
 @contextmanager
-def engine(answer: bytes, *, stays: bool = False) -> Iterator[str]:
-    """Serve one connection with a fixed answer."""
+def engine(response: bytes, *, keeps_open: bool = False) -> Iterator[str]:
+    """Serve one connection with a fixed response.
+
+    Args:
+        response: The raw bytes of the response.
+        keeps_open: Whether to keep the connection open afterwards.
+    """
     listener = socket.create_server(("127.0.0.1", 0))
-    over = threading.Event()
+    closing = threading.Event()
 
     def serve() -> None:
         connection, _ = listener.accept()
         with connection:
             _read_request(connection)
-            connection.sendall(answer)
-            if stays:
-                over.wait(5.0)
+            connection.sendall(response)
+            if keeps_open:
+                closing.wait(5.0)
 
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
     try:
         yield f"127.0.0.1:{listener.getsockname()[1]}"
     finally:
-        over.set()
+        closing.set()
         thread.join()
         listener.close()
 
 
 def _read_request(connection: socket.socket) -> None:
-    """Read all of a request.
+    """Read a complete request.
 
-    A close with unread bytes is a reset, which is told from a clean end.
+    Closing a socket with unread bytes sends a reset, which the client doesn't
+    treat as a clean end.
     """
     data = connection.recv(65_536)
     end = b"{}" if data.startswith(b"POST") else b"\r\n\r\n"
@@ -51,16 +57,16 @@
         data += more
 
 
-def run(address: str) -> tuple[EngineEnd, list[EngineHead], list[bytes]]:
+def run(address: str) -> tuple[EngineCallResult, list[EngineHead], list[bytes]]:
     heads: list[EngineHead] = []
     chunks: list[bytes] = []
-    end = EngineCall(address, REQUEST).run(heads.append, chunks.append)
-    return end, heads, chunks
+    result = EngineCall(address, REQUEST).run(heads.append, chunks.append)
+    return result, heads, chunks
 
 
 class TestEngineCall:
     @pytest.mark.parametrize(
-        ("body", "chunks", "whole"),
+        ("body", "chunks", "is_complete"),
         [
             (b"data: a\n\ndata: b\n\nevent: end\ndata: {}\n\n", 2, True),
             (b"data: a\n\ndata: [DONE]\n\n", 1, True),
@@ -69,16 +75,19 @@
             (b"", 0, False),
         ],
     )
-    def test_stream_is_whole_only_with_its_end(
-        self, body: bytes, chunks: int, whole: bool
+    def test_stream_is_complete_only_with_its_end_event(
+        self, body: bytes, chunks: int, is_complete: bool
     ) -> None:
         with engine(STREAM + body) as address:
-            end, heads, got = run(address)
-        assert (end, len(got)) == (EngineEnd(True, whole, chunks), chunks)
+            result, heads, got = run(address)
+        assert (result, len(got)) == (
+            EngineCallResult(True, is_complete, chunks),
+            chunks,
+        )
         assert [head.boot for head in heads] == [7]
 
     @pytest.mark.parametrize(
-        ("answer", "whole"),
+        ("response", "is_complete"),
         [
             (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", True),
             (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", False),
@@ -86,29 +95,36 @@
             (b"", False),
         ],
     )
-    def test_body_is_whole_only_with_its_length(
-        self, answer: bytes, whole: bool
+    def test_body_is_complete_only_at_its_full_length(
+        self, response: bytes, is_complete: bool
     ) -> None:
-        with engine(answer) as address:
-            end, _, _ = run(address)
-        assert (end.reached, end.whole) == (True, whole)
+        with engine(response) as address:
+            result, _, _ = run(address)
+        assert (result.reached, result.is_complete) == (True, is_complete)
 
     def test_refused_connection_reached_nothing(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             address = f"127.0.0.1:{listener.getsockname()[1]}"
-        end, _, _ = run(address)
-        assert end == EngineEnd(reached=False, whole=False, chunks=0)
+        result, _, _ = run(address)
+        assert result == EngineCallResult(
+            reached=False, is_complete=False, chunk_count=0
+        )
+
+    def test_cancel_ends_an_idle_stream(self) -> None:
+        """Guards against work that goes on after its caller disconnected.
 
-    def test_cancel_ends_a_silent_stream(self) -> None:
-        """An engine would go on for a caller who left, and its daemon wait."""
-        with engine(STREAM + b"data: a\n\n", stays=True) as address:
+        The daemon's thread would also wait for the engine.
+        """
+        with engine(STREAM + b"data: a\n\n", keeps_open=True) as address:
             call = EngineCall(address, REQUEST)
-            end = call.run(lambda head: None, lambda chunk: call.cancel())
-        assert end == EngineEnd(reached=True, whole=False, chunks=1)
+            result = call.run(lambda head: None, lambda chunk: call.cancel())
+        assert result == EngineCallResult(
+            reached=True, is_complete=False, chunk_count=1
+        )
 
     def test_cancelled_before_the_first_byte_reached_nothing(self) -> None:
         with engine(b"") as address:
             call = EngineCall(address, REQUEST)
             call.cancel()
-            end = call.run(lambda head: None, lambda chunk: None)
-        assert not end.reached
+            result = call.run(lambda head: None, lambda chunk: None)
+        assert not result.reached
--- a/mintsaddle/platform/tests/test_client.py
+++ b/mintsaddle/platform/tests/test_client.py
@@ -58,7 +58,7 @@
     def test_platform_that_is_slow(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """A daemon would wait for a platform that never answers."""
         monkeypatch.setattr(_client, "_SLACK", 0.2)
-        with engine(b"", stays=True) as address:
+        with engine(b"", keeps_open=True) as address:
             result = watch_value(address, "fleet", 0, 0.0)
         assert isinstance(result, Failure)
         assert "TimeoutError" in result.failure()
