--- a/mintsaddle/daemon/_node.py
+++ b/mintsaddle/daemon/_node.py
@@ -27,8 +27,8 @@
 from mintsaddle.transport import (
     ChannelPool,
     LoopThread,
+    decompress_value,
     read_stamp,
-    unpack_value,
     write_stamp,
 )
 from mintsaddle.transport.proto import peer_pb2 as pb
@@ -238,11 +238,11 @@
         self.count_control(request, reply)
         sender = read_stamp(reply.stamp)
         if reply.text:
-            text = unpack_value(reply.text)
+            text = decompress_value(reply.text)
             if text is not None:
                 await self.offer_text(sender.text_revision, text)
         if reply.marks:
-            marks = unpack_value(reply.marks)
+            marks = decompress_value(reply.marks)
             if marks is not None:
                 self.offer_marks(sender.marks_revision, marks)
         # Heard only now: the gate would open before its word is in force.
--- a/mintsaddle/daemon/_peers.py
+++ b/mintsaddle/daemon/_peers.py
@@ -8,7 +8,7 @@
 
 from mintsaddle.daemon._node import DaemonNode
 from mintsaddle.decisions.configuration import is_out
-from mintsaddle.transport import pack_configuration, read_stamp, write_stamp
+from mintsaddle.transport import compress_configuration, read_stamp, write_stamp
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.transport.proto.peer_grpc import PeerBase
 
@@ -49,7 +49,9 @@
         wait = min(LONGEST_WAIT, request.wait_until - self._node.now())
         if wait > 0.0:
             await self._node.wait_for_change(asker, wait)
-        reply = pack_configuration(self._node.configuration, asker, self._node.stamp())
+        reply = compress_configuration(
+            self._node.configuration, asker, self._node.stamp()
+        )
         self._node.count_control(request, reply)
         await stream.send_message(reply)
 
--- a/mintsaddle/transport/__init__.py
+++ b/mintsaddle/transport/__init__.py
@@ -1,15 +1,15 @@
-"""Messages between daemons over grpclib, with typed values on both sides."""
+"""gRPC transport between daemons and conversion of its messages."""
 
 from mintsaddle.transport._channels import ChannelPool
 from mintsaddle.transport._convert import (
-    pack_configuration,
+    compress_configuration,
+    decompress_value,
     read_bequest,
     read_home_answer,
     read_home_question,
     read_load,
     read_refusal,
     read_stamp,
-    unpack_value,
     write_bequest,
     write_home_answer,
     write_home_question,
@@ -22,14 +22,14 @@
 __all__ = [
     "ChannelPool",
     "LoopThread",
-    "pack_configuration",
+    "compress_configuration",
     "read_bequest",
     "read_home_answer",
     "read_home_question",
     "read_load",
     "read_refusal",
     "read_stamp",
-    "unpack_value",
+    "decompress_value",
     "write_bequest",
     "write_home_answer",
     "write_home_question",
--- a/mintsaddle/transport/_channels.py
+++ b/mintsaddle/transport/_channels.py
@@ -1,16 +1,16 @@
-"""Connections to other daemons, one for each address."""
+"""gRPC channels to other daemons, one per address."""
 
 from grpclib.client import Channel
 
 
 class ChannelPool:
-    """The open channels of one daemon; used in its loop only."""
+    """The open channels of one daemon; used only in its event loop."""
 
     def __init__(self) -> None:
         self._channels: dict[str, Channel] = {}
 
     def open(self, address: str) -> Channel:
-        """Return the channel to an ``IP:PORT``; it connects on first use."""
+        """Return a channel to an ``IP:PORT`` that connects on first use."""
         channel = self._channels.get(address)
         if channel is None:
             host, _, port = address.rpartition(":")
@@ -19,10 +19,10 @@
         return channel
 
     def drop(self, address: str) -> None:
-        """Close a channel that was found broken or silent.
+        """Close a channel whose peer is unreachable or doesn't respond.
 
-        Guards against a peer that was replaced or frozen: writes into its old
-        connection would look sent for minutes.
+        Writes to the old connection of a replaced or frozen peer would appear
+        to succeed for minutes.
         """
         channel = self._channels.pop(address, None)
         if channel is not None:
--- a/mintsaddle/transport/_convert.py
+++ b/mintsaddle/transport/_convert.py
@@ -1,4 +1,4 @@
-"""Between the typed values of the decisions and the messages on the wire."""
+"""Conversion between typed values and protobuf messages."""
 
 import zlib
 from collections.abc import Iterable
@@ -17,11 +17,11 @@
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.values import Claim, Load, Reason, Refusal, Stamp, parse_key
 
-_LARGEST_VALUE = 1_048_576
+_MAX_VALUE_BYTES = 1_048_576
 
 
 def write_stamp(stamp: Stamp) -> pb.Stamp:
-    """Return the message form of a stamp."""
+    """Convert a stamp to its message."""
     return pb.Stamp(
         vm=stamp.vm,
         boot=stamp.boot,
@@ -31,14 +31,14 @@
 
 
 def read_stamp(message: pb.Stamp) -> Stamp:
-    """Return the stamp in a message."""
+    """Convert a message to a stamp."""
     return Stamp(
         message.vm, message.boot, message.text_revision, message.marks_revision
     )
 
 
 def write_load(load: Load) -> pb.Load:
-    """Return the message form of a load."""
+    """Convert a load to its message."""
     return pb.Load(
         in_flight=load.in_flight,
         limit=load.limit,
@@ -48,12 +48,12 @@
 
 
 def read_load(message: pb.Load) -> Load:
-    """Return the load in a message."""
+    """Convert a message to a load."""
     return Load(message.in_flight, message.limit, message.queued, message.leaving)
 
 
 def write_refusal(refusal: Refusal) -> pb.Refused:
-    """Return the message form of a refusal."""
+    """Convert a refusal to its message."""
     return pb.Refused(
         claim=refusal.claim.value,
         reason=refusal.reason.value,
@@ -62,37 +62,37 @@
 
 
 def read_refusal(message: pb.Refused) -> Refusal:
-    """Return the refusal in a message."""
+    """Convert a message to a refusal."""
     return Refusal(Claim(message.claim), Reason(message.reason), message.retry_at)
 
 
-def pack_configuration(
-    state: ConfigurationState, asker: Stamp, own: Stamp
+def compress_configuration(
+    state: ConfigurationState, requester: Stamp, own: Stamp
 ) -> pb.FetchReply:
-    """Return what the asker doesn't have yet, compressed."""
+    """Return the compressed parts that are newer than the requester's."""
     reply = pb.FetchReply(stamp=write_stamp(own))
-    if state.text_revision > asker.text_revision:
+    if state.text_revision > requester.text_revision:
         reply.text = zlib.compress(state.text.encode())
-    if state.marks_revision > asker.marks_revision:
+    if state.marks_revision > requester.marks_revision:
         reply.marks = zlib.compress(state.marks_text.encode())
     return reply
 
 
-def unpack_value(packed: bytes) -> str | None:
-    """Return a packed text, or None if it is damaged or too large."""
-    unpacker = zlib.decompressobj()
+def decompress_value(compressed: bytes) -> str | None:
+    """Decompress a text; return None if it is corrupt or too large."""
+    decompressor = zlib.decompressobj()
     try:
-        raw = unpacker.decompress(packed, _LARGEST_VALUE + 1)
+        raw = decompressor.decompress(compressed, _MAX_VALUE_BYTES + 1)
         text = raw.decode()
     except (zlib.error, UnicodeDecodeError):
         return None
-    if len(raw) > _LARGEST_VALUE or not unpacker.eof:
+    if len(raw) > _MAX_VALUE_BYTES or not decompressor.eof:
         return None
     return text
 
 
 def write_home_question(question: HomeQuestion, stamp: Stamp) -> pb.HomeQuestion:
-    """Return the message form of a home's question."""
+    """Convert a home's question to its message."""
     return pb.HomeQuestion(
         stamp=write_stamp(stamp),
         asker=question.asker,
@@ -103,7 +103,7 @@
 
 
 def read_home_question(message: pb.HomeQuestion) -> HomeQuestion:
-    """Return the question in a message."""
+    """Convert a message to a home's question."""
     return HomeQuestion(
         message.asker,
         message.stamp.boot,
@@ -114,7 +114,7 @@
 
 
 def write_home_answer(answer: HomeAnswer, stamp: Stamp) -> pb.HomeAnswer:
-    """Return the message form of a home's answer."""
+    """Convert a home's answer to its message."""
     message = pb.HomeAnswer(
         stamp=write_stamp(stamp),
         service=answer.service,
@@ -134,7 +134,7 @@
 
 
 def read_home_answer(message: pb.HomeAnswer) -> HomeAnswer:
-    """Return the answer in a message."""
+    """Convert a message to a home's answer."""
     homes = None
     if message.HasField("homes"):
         to_ask = frozenset(message.homes.to_ask)
@@ -157,7 +157,7 @@
 
 
 def write_bequest(bequest: Bequest, stamp: Stamp) -> pb.Bequest:
-    """Return the message form of a leaving home's ledger."""
+    """Convert the ledger of a leaving home to its message."""
     return pb.Bequest(
         stamp=write_stamp(stamp),
         vm=bequest.vm,
@@ -169,7 +169,7 @@
 
 
 def read_bequest(message: pb.Bequest) -> Bequest:
-    """Return the ledger in a message."""
+    """Convert a message to the ledger of a leaving home."""
     entries = _read_entries(message.entries, message.service)
     return Bequest(message.vm, message.boot, message.service, message.floor, entries)
 
--- a/mintsaddle/transport/_loop.py
+++ b/mintsaddle/transport/_loop.py
@@ -1,4 +1,4 @@
-"""One thread that runs the event loop of grpclib and of all decisions."""
+"""The thread that runs the event loop of grpclib and all decisions."""
 
 import asyncio
 import threading
@@ -10,10 +10,10 @@
 
 
 class LoopThread:
-    """An event loop in a thread of its own.
+    """An event loop in a dedicated thread.
 
-    All decisions of a daemon run in it, one after the other, so their state
-    needs no locks.
+    All decisions of a daemon run sequentially in this loop, so that their
+    state needs no locks.
     """
 
     def __init__(self, name: str) -> None:
@@ -24,7 +24,7 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop, for code that already runs in it."""
+        """The event loop, for code that already runs in it."""
         return self._loop
 
     def start(self) -> None:
@@ -32,12 +32,12 @@
         self._thread.start()
 
     def submit(self, coroutine: Coroutine[Any, Any, _Value]) -> "Future[_Value]":
-        """Run a coroutine in the loop from another thread."""
+        """Schedule a coroutine in the loop from another thread."""
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
-    def post(self, act: Callable[..., object], *arguments: object) -> None:
-        """Call a function in the loop from another thread, soon."""
-        self._loop.call_soon_threadsafe(act, *arguments)
+    def post(self, callback: Callable[..., object], *arguments: object) -> None:
+        """Schedule a function call in the loop from another thread."""
+        self._loop.call_soon_threadsafe(callback, *arguments)
 
     def stop(self) -> None:
         """Stop the loop and wait for its thread."""
--- a/mintsaddle/transport/tests/test_convert.py
+++ b/mintsaddle/transport/tests/test_convert.py
@@ -1,4 +1,4 @@
-"""Messages between daemons: there and back, and damaged."""
+"""Conversion of messages between daemons, and corrupt or oversized values."""
 
 import random
 import zlib
@@ -21,14 +21,14 @@
 )
 from mintsaddle.fleet import OrderHomes
 from mintsaddle.transport import (
-    pack_configuration,
+    compress_configuration,
+    decompress_value,
     read_bequest,
     read_home_answer,
     read_home_question,
     read_load,
     read_refusal,
     read_stamp,
-    unpack_value,
     write_bequest,
     write_home_answer,
     write_home_question,
@@ -76,18 +76,18 @@
 
 
 class TestConfiguration:
-    def test_only_what_is_missing_travels(self) -> None:
+    def test_only_newer_parts_are_sent(self) -> None:
         state = ConfigurationState()
         adopt_text(state, 7, "[fleet]\nname = x\n")
         adopt_marks(state, 2, "[marks]\n")
-        same = pack_configuration(state, STAMP, STAMP)
-        assert (same.text, same.marks) == (b"", b"")
-        behind = pack_configuration(state, Stamp("b", 1, 6, 2), STAMP)
-        assert unpack_value(behind.text) == state.text
+        current = compress_configuration(state, STAMP, STAMP)
+        assert (current.text, current.marks) == (b"", b"")
+        behind = compress_configuration(state, Stamp("b", 1, 6, 2), STAMP)
+        assert decompress_value(behind.text) == state.text
         assert behind.marks == b""
 
     @pytest.mark.parametrize(
-        "packed",
+        "compressed",
         [
             b"damaged",
             zlib.compress(b"text")[:-3],
@@ -95,5 +95,5 @@
             zlib.compress(b"a" * 3_000_000),
         ],
     )
-    def test_damaged_or_huge_values_are_refused(self, packed: bytes) -> None:
-        assert unpack_value(packed) is None
+    def test_corrupt_or_oversized_values_are_rejected(self, compressed: bytes) -> None:
+        assert decompress_value(compressed) is None
