--- a/mintsaddle/cli/_main.py
+++ b/mintsaddle/cli/_main.py
@@ -1,4 +1,4 @@
-"""Look at fleet texts and at running daemons.
+"""Inspect fleet configuration texts and running daemons.
 
 Usage:
   mintsaddle check TEXT
@@ -10,19 +10,19 @@
   mintsaddle --help
 
 Commands:
-  check       Report everything wrong with a fleet text.
-  plan        Show what a new text would change; unsafe changes first.
-  explain     Show where a service's work goes as each data centre is out.
-  status      Show what a daemon does and why.
-  histograms  Show latencies by workspace and class, merged over daemons.
-  trace       Gather a request's story from logs; a LOG of - is standard input.
+  check       Report all errors in a fleet configuration text.
+  plan        Show what a new text changes, unsafe changes first.
+  explain     Show where a service's requests go when each data centre is out.
+  status      Show the state of a daemon and the reasons for it.
+  histograms  Show latencies by workspace and class, merged across daemons.
+  trace       Collect a request's log lines; a LOG of - is standard input.
 
 Options:
-  --json  Print JSON for programs.
+  --json  Print JSON instead of tables.
   --help  Show this page.
 
-Exit codes: 0 good, 1 the answer is bad news (findings, an unsafe change, a
-daemon that doesn't serve), 2 the question could not be answered.
+Exit codes: 0 success, 1 a problem was found (findings, an unsafe change, a
+daemon that doesn't serve), 2 the command failed.
 """
 
 import sys
@@ -35,30 +35,31 @@
 from mintsaddle.cli._texts import check_text, explain_text, plan_texts
 from mintsaddle.cli._trace import trace_request
 
-EXIT_BAD_NEWS = 1
-EXIT_NO_ANSWER = 2
+EXIT_PROBLEM_FOUND = 1
+EXIT_FAILURE = 2
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the tool.
+    """Run the command-line tool.
 
     Args:
-        arguments: The command line without the program's name.
+        arguments: Command-line arguments without the program name; those of
+            the process by default.
 
     Returns:
         The exit code.
     """
     options = docopt(str(__doc__), arguments)
-    match _answer(options):
+    match _run_command(options):
         case Success(output):
             print(output.to_json() if options["--json"] else output.to_text())
-            return EXIT_BAD_NEWS if output.is_bad_news else 0
+            return EXIT_PROBLEM_FOUND if output.found_problem else 0
         case Failure(problem):
             print(problem, file=sys.stderr)
-    return EXIT_NO_ANSWER
+    return EXIT_FAILURE
 
 
-def _answer(options: dict[str, str]) -> Result[Output, str]:
+def _run_command(options: dict[str, str]) -> Result[Output, str]:
     if options["check"]:
         return check_text(options["TEXT"])
     if options["plan"]:
--- a/mintsaddle/cli/_output.py
+++ b/mintsaddle/cli/_output.py
@@ -1,4 +1,4 @@
-"""What a command prints: a table for a person, or JSON for a program."""
+"""Output of commands, rendered as text tables or as JSON."""
 
 import json
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Table(NamedTuple):
-    """Rows under a heading; all rows have as many cells as the heading."""
+    """A table whose rows all have as many cells as its heading."""
 
     title: str
     heading: tuple[str, ...]
@@ -15,7 +15,7 @@
 
     def to_text(self) -> str:
         """Return the table with aligned columns."""
-        lines = [self.heading, *(tuple(map(_show, row)) for row in self.rows)]
+        lines = [self.heading, *(tuple(map(_format_cell, row)) for row in self.rows)]
         widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
         texts = [
             "  ".join(
@@ -28,18 +28,19 @@
 
 
 class Output(NamedTuple):
-    """The answer of one command."""
+    """The output of one command."""
 
     tables: tuple[Table, ...]
-    is_bad_news: bool = False
+    found_problem: bool = False
+    """Whether the command exits with a code that reports a problem."""
 
     def to_text(self) -> str:
-        """Return the tables, those with rows only."""
+        """Return the tables that have rows as text."""
         texts = [table.to_text() for table in self.tables if table.rows]
         return "\n\n".join(texts) if texts else "nothing to show"
 
     def to_json(self) -> str:
-        """Return the tables as JSON, a list of objects for each."""
+        """Return a JSON object with a list of row objects for each table."""
         parts = {
             table.title: [
                 dict(zip(table.heading, row, strict=True)) for row in table.rows
@@ -49,7 +50,7 @@
         return json.dumps(parts, indent=2)
 
 
-def _show(cell: Cell) -> str:
+def _format_cell(cell: Cell) -> str:
     if isinstance(cell, bool):
         return "yes" if cell else "no"
     if isinstance(cell, float):
--- a/mintsaddle/cli/_remote.py
+++ b/mintsaddle/cli/_remote.py
@@ -1,4 +1,4 @@
-"""Commands that ask running daemons."""
+"""Commands that query running daemons."""
 
 import asyncio
 from collections import defaultdict
@@ -14,35 +14,35 @@
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.transport.proto.peer_grpc import PeerStub
 
-_TIMEOUT = 5.0
-_MEGABYTE = 1_000_000
+_TIMEOUT_SECONDS = 5.0
+_BYTES_PER_MB = 1_000_000
 _Reply = TypeVar("_Reply")
 
 
 def show_status(address: str) -> Result[Output, str]:
-    """Show what a daemon does and why."""
-    result = _ask(address, lambda stub: stub.ShowStatus(pb.StatusRequest()))
+    """Show the state of a daemon and the reasons for it."""
+    result = _query(address, lambda stub: stub.ShowStatus(pb.StatusRequest()))
     return result.map(_tabulate_status)
 
 
 def show_histograms(addresses: tuple[str, ...]) -> Result[Output, str]:
-    """Show the histograms of some daemons, merged by name."""
+    """Show the histograms of several daemons, merged by key."""
     encoded: dict[HistogramKey, list[bytes]] = defaultdict(list)
     for address in addresses:
-        match _ask(address, lambda stub: stub.ShowHistograms(pb.StatusRequest())):
+        match _query(address, lambda stub: stub.ShowHistograms(pb.StatusRequest())):
             case Failure(problem):
                 return Failure(problem)
             case Success(reply):
                 for part in reply.histograms:
                     measure = Measure(part.measure)
-                    name = HistogramKey(part.workspace, part.work_class, measure)
-                    encoded[name].append(part.encoded)
-    merged = [merge_encoded(tuple(parts), name) for name, parts in encoded.items()]
+                    key = HistogramKey(part.workspace, part.work_class, measure)
+                    encoded[key].append(part.encoded)
+    merged = [merge_encoded(tuple(parts), key) for key, parts in encoded.items()]
     return Success(Output((_tabulate_histograms(merged),)))
 
 
-def _ask(
-    address: str, question: Callable[[PeerStub], Awaitable[_Reply]]
+def _query(
+    address: str, rpc: Callable[[PeerStub], Awaitable[_Reply]]
 ) -> Result[_Reply, str]:
     host, _, port = address.rpartition(":")
     if not port.isdecimal():
@@ -51,14 +51,14 @@
     async def run() -> _Reply:
         channel = Channel(host.strip("[]"), int(port))
         try:
-            return await asyncio.wait_for(question(PeerStub(channel)), _TIMEOUT)
+            return await asyncio.wait_for(rpc(PeerStub(channel)), _TIMEOUT_SECONDS)
         finally:
             channel.close()
 
     try:
         return Success(asyncio.run(run()))
     except (OSError, TimeoutError, GRPCError, StreamTerminatedError) as error:
-        return Failure(f"{address}: no answer: {error or type(error).__name__}")
+        return Failure(f"{address}: no response: {error or type(error).__name__}")
 
 
 def _tabulate_status(status: pb.Status) -> Output:
@@ -81,7 +81,7 @@
         ("last admission", status.last_admission),
         ("orders remembered", status.ledger_entries),
         ("cpu seconds", status.cpu_seconds),
-        ("memory MB", status.memory_bytes / _MEGABYTE),
+        ("memory MB", status.memory_bytes / _BYTES_PER_MB),
         ("control bytes", status.control_bytes),
     )
     homes = tuple(
@@ -99,8 +99,8 @@
         Table("groups", ("group", "rank", "map", "ballot", "held", "skew"), groups),
         Table("refused", ("finding",), refused),
     )
-    bad = not status.serving or bool(status.not_serving) or bool(refused)
-    return Output(tables, bad)
+    found_problem = not status.serving or bool(status.not_serving) or bool(refused)
+    return Output(tables, found_problem)
 
 
 def _tabulate_histograms(summaries: list[HistogramSummary]) -> Table:
--- a/mintsaddle/cli/_texts.py
+++ b/mintsaddle/cli/_texts.py
@@ -1,4 +1,4 @@
-"""Commands that read fleet texts."""
+"""Commands that read fleet configuration texts."""
 
 from pathlib import Path
 
@@ -10,20 +10,20 @@
 
 
 def check_text(path: str) -> Result[Output, str]:
-    """Report everything wrong with a text."""
+    """Report all errors in a text."""
     return _read_file(path).bind(lambda text: Success(_check(path, text)))
 
 
 def plan_texts(old_path: str, new_path: str) -> Result[Output, str]:
-    """Show what a new text would change."""
-    old = _read_good(old_path)
-    new = _read_good(new_path)
+    """Show what a new text changes."""
+    old = _read_valid_fleet(old_path)
+    new = _read_valid_fleet(new_path)
     return old.bind(lambda before: new.map(lambda after: _plan(before, after)))
 
 
 def explain_text(path: str, name: str) -> Result[Output, str]:
-    """Show where a service's work goes."""
-    return _read_good(path).bind(lambda fleet: _explain(fleet, name))
+    """Show where a service's requests go when each data centre is out."""
+    return _read_valid_fleet(path).bind(lambda fleet: _explain(fleet, name))
 
 
 def _read_file(path: str) -> Result[str, str]:
@@ -33,7 +33,7 @@
         return Failure(f"{path}: can't be read: {error}")
 
 
-def _read_good(path: str) -> Result[Fleet, str]:
+def _read_valid_fleet(path: str) -> Result[Fleet, str]:
     return _read_file(path).bind(
         lambda text: read_fleet(path, text).alt(render_findings)
     )
@@ -42,13 +42,13 @@
 def _check(path: str, text: str) -> Output:
     match read_fleet(path, text):
         case Failure(findings):
-            return Output((_tabulate(findings),), is_bad_news=True)
+            return Output((_tabulate_findings(findings),), found_problem=True)
         case Success(fleet):
-            return Output((_count(path, fleet),))
+            return Output((_tabulate_counts(path, fleet),))
     raise AssertionError("a result is a success or a failure")
 
 
-def _tabulate(findings: Findings) -> Table:
+def _tabulate_findings(findings: Findings) -> Table:
     rows = tuple(
         (f"{item.source}:{item.line}", item.section, item.key, item.problem)
         for item in findings
@@ -56,7 +56,7 @@
     return Table("findings", ("place", "section", "key", "problem"), rows)
 
 
-def _count(path: str, fleet: Fleet) -> Table:
+def _tabulate_counts(path: str, fleet: Fleet) -> Table:
     row = (
         path,
         len(fleet.data_centres),
@@ -89,11 +89,11 @@
         (
             placement.situation,
             placement.places,
-            " ".join(placement.endpoints) or "(none: every call is refused)",
+            " ".join(placement.endpoints) or "(none: all calls are refused)",
             " ".join(placement.missing),
         )
         for placement in placements
     )
     heading = ("situation", "places", "endpoints", "missing dependencies")
-    bad = any(not placement.endpoints for placement in placements)
-    return Success(Output((Table(f"service {name}", heading, rows),), bad))
+    found_problem = any(not placement.endpoints for placement in placements)
+    return Success(Output((Table(f"service {name}", heading, rows),), found_problem))
--- a/mintsaddle/cli/_trace.py
+++ b/mintsaddle/cli/_trace.py
@@ -1,4 +1,4 @@
-"""Gathering one request's story from the logs of many processes."""
+"""Collects the log lines of one request from the logs of many processes."""
 
 import re
 import sys
@@ -11,71 +11,71 @@
 from mintsaddle.cli._output import Output, Table
 
 STANDARD_INPUT = "-"
-"""Stands for standard input among the names of logs."""
+"""Log name that stands for standard input."""
 
-_LINE = re.compile(
+_LINE_PATTERN = re.compile(
     r"(?P<before>.*?)(?P<time>\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3}) "
-    r"(?P<level>[A-Z]+) (?P<text>\[(?P<part>[\w-]+)\] .*)$"
+    r"(?P<level>[A-Z]+) (?P<text>\[(?P<component>[\w-]+)\] .*)$"
 )
-_REQUEST = re.compile(r"\brequest=(?P<id>[^\s.]+)")
-_ENDING = re.compile(r"\bending=(?P<ending>[\w:-]+)")
-_REASON = re.compile(r"\breason=(?P<reason>[\w-]+)")
-_FIRST = re.compile(r"\bfirst=(\d+\.\d+)")
-_PAUSE = re.compile(r"\blongest_pause=(\d+\.\d+)")
-_WHY = re.compile(r"\bwhy=(?P<why>[\w-]+)")
+_REQUEST_PATTERN = re.compile(r"\brequest=(?P<id>[^\s.]+)")
+_ENDING_PATTERN = re.compile(r"\bending=(?P<ending>[\w:-]+)")
+_REASON_PATTERN = re.compile(r"\breason=(?P<reason>[\w-]+)")
+_FIRST_EVENT_PATTERN = re.compile(r"\bfirst=(\d+\.\d+)")
+_LONGEST_PAUSE_PATTERN = re.compile(r"\blongest_pause=(\d+\.\d+)")
+_WHY_PATTERN = re.compile(r"\bwhy=(?P<why>[\w-]+)")
 
 _CAUSES = {
-    "answered": "It was answered whole by an endpoint.",
-    "streamed": "Its stream came to its end.",
-    "caller-left": "Its caller hung up before the answer was complete.",
-    "cut": "Its stream was cut at the endpoint and could not go on elsewhere.",
+    "answered": "An endpoint returned the complete response.",
+    "streamed": "Its stream ended normally.",
+    "caller-left": "Its caller disconnected before the response was complete.",
+    "cut": "Its stream was cut off at the endpoint and could not resume elsewhere.",
     "not-run:group-down": "It was refused: the engines' group was down for as "
-    "long as its caller would have waited.",
-    "not-run:full": "It was refused: the endpoints that were asked were full.",
-    "not-run:no-endpoint": "It was refused: no endpoint of its service was left.",
-    "not-run:unreachable": "It was refused: no connection to an endpoint was made.",
-    "in-doubt:cut-off": "It may have run: the endpoint broke off its answer.",
-    "in-doubt:silent": "It may have run: the endpoint gave no answer in time.",
+    "long as its caller was willing to wait.",
+    "not-run:full": "It was refused: all endpoints that were tried were full.",
+    "not-run:no-endpoint": "It was refused: no endpoint of its service was available.",
+    "not-run:unreachable": "It was refused: no connection to an endpoint succeeded.",
+    "in-doubt:cut-off": "It may have run: the endpoint cut off its response.",
+    "in-doubt:silent": "It may have run: the endpoint did not respond in time.",
     "in-doubt:too-late": "It may have run: its deadline passed.",
-    "refused:behind": "It was refused: the entry knew no table that is new enough.",
-    "refused:full": "It was refused: the entry served as many callers as it can.",
-    "denied:no-key": "It was denied: its key is in no workspace of the table.",
+    "refused:behind": "It was refused: the entry had no recent enough table.",
+    "refused:full": "It was refused: the entry was at its limit of callers.",
+    "denied:no-key": "It was denied: no workspace of the table has its key.",
     "denied:no-route": "It was denied: the table has no route for its path.",
 }
 
 
 class LogLine(NamedTuple):
-    """One line that one of our processes wrote."""
+    """A log line of a mintsaddle process."""
 
     time: str
     source: str
-    """The log's name, or what a collector has put before the line."""
+    """The log's name, or the last word of the prefix of a log collector."""
 
     level: str
-    part: str
+    component: str
     text: str
 
     @property
     def request(self) -> str:
-        """The request that it is about, or an empty string."""
-        found = _REQUEST.search(self.text)
+        """The id of the request that the line names, or an empty string."""
+        found = _REQUEST_PATTERN.search(self.text)
         return found["id"] if found else ""
 
 
 def trace_request(request: str, paths: Iterable[str]) -> Result[Output, str]:
-    """Return a request's story over several logs, with its cause.
+    """Return the timeline of a request from several logs, and its cause.
 
     Args:
         request: The caller's id of the attempt.
         paths: Names of logs; ``-`` is standard input.
 
     Returns:
-        The lines about it in order of time, those that changed what its entry
-        believed meanwhile, and one sentence of cause; a failure if a log can't
-        be read or none of them knows the request.
+        The lines that name the request and those about the state of its entry
+        in the meantime, ordered by time, and a sentence on how it ended; a
+        failure if a log can't be read or no line names the request.
     """
     if not request:
-        return Failure("no request is named; give the caller's id of the attempt")
+        return Failure("the request id is empty; give the caller's id of the attempt")
     lines: list[LogLine] = []
     skipped = 0
     for path in paths:
@@ -86,37 +86,42 @@
                 parsed = [parse_line(path, text) for text in texts]
                 lines += [line for line in parsed if line is not None]
                 skipped += sum(line is None for line in parsed)
-    own = [line for line in lines if line.request == request]
-    if not own:
-        looked = f"{len(lines)} lines looked at, {skipped} of another form"
+    request_lines = [line for line in lines if line.request == request]
+    if not request_lines:
+        counts = f"{len(lines)} lines read, {skipped} of another form"
         return Failure(
-            f"no line names request {request} ({looked}); "
+            f"no line names request {request} ({counts}); "
             "give the logs of all entries of that time"
         )
-    return Success(_tell(request, own, lines, skipped))
+    return Success(_build_output(request, request_lines, lines, skipped))
 
 
 def parse_line(path: str, text: str) -> LogLine | None:
-    """Return a line of our processes; None for any other or a torn one."""
-    found = _LINE.match(text)
+    """Parse a line; return None if it is truncated or of another program."""
+    found = _LINE_PATTERN.match(text)
     if found is None:
         return None
     source = " ".join(found["before"].split()[-1:]) or Path(path).name
-    return LogLine(found["time"], source, found["level"], found["part"], found["text"])
+    return LogLine(
+        found["time"], source, found["level"], found["component"], found["text"]
+    )
 
 
 def find_cause(lines: Iterable[LogLine]) -> str:
-    """Return one sentence that says how a request ended, and why."""
+    """Return a sentence on how a request ended, and why."""
     for line in reversed(list(lines)):
         key = _ending_key(line)
         if key:
-            return _CAUSES.get(key, f"It ended {key}.") + _timing_of(line)
-    return "Its end is not in these logs: it may still run, or its entry died."
+            return _CAUSES.get(key, f"It ended {key}.") + _format_timing(line)
+    return "Its end is not in these logs: it may still run, or its entry terminated."
 
 
-def _timing_of(line: LogLine) -> str:
-    """Return what a stream's last line says of its events."""
-    first, pause = _FIRST.search(line.text), _PAUSE.search(line.text)
+def _format_timing(line: LogLine) -> str:
+    """Return the event timing in a stream's last line, if there is any."""
+    first, pause = (
+        _FIRST_EVENT_PATTERN.search(line.text),
+        _LONGEST_PAUSE_PATTERN.search(line.text),
+    )
     if first is None or pause is None:
         return ""
     return f" First event after {first[1]} s, longest pause {pause[1]} s."
@@ -124,35 +129,38 @@
 
 def _ending_key(line: LogLine) -> str:
     text = line.text
-    if "] Ended " in text and (ending := _ENDING.search(text)):
+    if "] Ended " in text and (ending := _ENDING_PATTERN.search(text)):
         return ending["ending"]
-    if "] Refused " in text and (reason := _REASON.search(text)):
+    if "] Refused " in text and (reason := _REASON_PATTERN.search(text)):
         return f"refused:{reason['reason']}"
-    if "] Denied " in text and (why := _WHY.search(text)):
+    if "] Denied " in text and (why := _WHY_PATTERN.search(text)):
         return f"denied:{why['why']}"
     return ""
 
 
-def _tell(
-    request: str, own: list[LogLine], lines: list[LogLine], skipped: int
+def _build_output(
+    request: str, request_lines: list[LogLine], lines: list[LogLine], skipped: int
 ) -> Output:
-    first, last = min(line.time for line in own), max(line.time for line in own)
-    sources = {line.source for line in own}
-    beliefs = [
+    first, last = (
+        min(line.time for line in request_lines),
+        max(line.time for line in request_lines),
+    )
+    sources = {line.source for line in request_lines}
+    state_changes = [
         line
         for line in lines
         if not line.request
         and line.source in sources
         and first <= line.time <= last
-        and line.part != "calls"
+        and line.component != "calls"
     ]
-    story = sorted([*own, *beliefs], key=lambda line: line.time)
-    rows = tuple((line.time[11:], line.source, line.text) for line in story)
+    timeline = sorted([*request_lines, *state_changes], key=lambda line: line.time)
+    rows = tuple((line.time[11:], line.source, line.text) for line in timeline)
     summary = (
         ("request", request),
-        ("cause", find_cause(own)),
+        ("cause", find_cause(request_lines)),
         ("entries", ", ".join(sorted(sources))),
-        ("clocks", "times of different entries may differ by their clocks"),
+        ("clocks", "the clocks of different entries may differ"),
         ("lines of another form", str(skipped)),
     )
     return Output(
--- a/mintsaddle/cli/tests/test_tool.py
+++ b/mintsaddle/cli/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool on texts, and the daemon's check of its settings."""
+"""Commands on fleet texts, and the daemon's check of its settings."""
 
 import json
 from pathlib import Path
@@ -26,7 +26,7 @@
 
 
 class TestCheck:
-    def test_findings_are_bad_news(
+    def test_findings_exit_with_a_problem(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         path = tmp_path / "fleet.ini"
@@ -36,9 +36,7 @@
         assert "fleet.ini:3" in shown
         assert "fleet.ini:4" in shown
 
-    def test_missing_file_has_no_answer(
-        self, capsys: pytest.CaptureFixture[str]
-    ) -> None:
+    def test_missing_file_fails(self, capsys: pytest.CaptureFixture[str]) -> None:
         assert main(["check", "no-such-file.ini"]) == 2
         assert "can't be read" in capsys.readouterr().err
 
@@ -60,7 +58,7 @@
 
 
 class TestExplain:
-    def test_shows_each_data_centre_out(
+    def test_shows_outage_of_each_data_centre(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["explain", str(EXAMPLES / "clampwise.ini"), "advice"]) == 0
@@ -68,7 +66,7 @@
         assert "bc2 out" in shown
         assert "256" in shown
 
-    def test_unknown_service_names_the_known(
+    def test_unknown_service_lists_known_services(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["explain", str(EXAMPLES / "clampwise.ini"), "x"]) == 2
@@ -77,13 +75,15 @@
 
 class TestStatus:
     @pytest.mark.parametrize("address", ["127.0.0.1:1", "nowhere"])
-    def test_no_answer(self, address: str, capsys: pytest.CaptureFixture[str]) -> None:
+    def test_unreachable_daemon_fails(
+        self, address: str, capsys: pytest.CaptureFixture[str]
+    ) -> None:
         assert main(["status", address]) == 2
         assert address in capsys.readouterr().err
 
 
 class TestDaemonSettings:
-    def test_all_findings_at_once(
+    def test_all_findings_are_reported_at_once(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         path = tmp_path / "daemon.ini"
@@ -93,7 +93,7 @@
         assert "daemon.ini:2: [daemon] role" in shown
         assert "daemon.ini:3: [daemon] threads" in shown
 
-    def test_the_platforms_file_is_checked_as_well(
+    def test_the_platforms_settings_file_is_checked(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         path = tmp_path / "settings.toml"
--- a/mintsaddle/cli/tests/test_trace.py
+++ b/mintsaddle/cli/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""One request's story from the logs of several entries."""
+"""The timeline of one request from the logs of several entries."""
 
 import json
 from pathlib import Path
@@ -31,7 +31,7 @@
 
 
 class TestTrace:
-    def test_the_story_holds_what_was_believed_meanwhile(
+    def test_timeline_holds_state_changes_of_the_entry(
         self, log: str, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["trace", "r-1", log]) == 0
@@ -43,41 +43,39 @@
     @pytest.mark.parametrize(
         ("request_id", "cause"),
         [
-            ("r-2", "could not go on elsewhere"),
-            ("r-3", "knew no table"),
+            ("r-2", "could not resume elsewhere"),
+            ("r-3", "had no recent enough table"),
             ("r-4", "not in these logs"),
             ("r-5", "First event after 0.210 s, longest pause 0.131 s."),
         ],
     )
-    def test_each_kind_of_end_has_its_cause(
+    def test_each_ending_has_its_cause(
         self, log: str, request_id: str, cause: str, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["trace", request_id, log, "--json"]) == 0
         summary = json.loads(capsys.readouterr().out)["summary"]
-        told = {row["what"]: row["is"] for row in summary}
-        assert cause in told["cause"]
-        assert told["lines of another form"] == "2"
+        shown = {row["what"]: row["is"] for row in summary}
+        assert cause in shown["cause"]
+        assert shown["lines of another form"] == "2"
 
-    def test_an_id_that_no_log_knows_gets_a_way_out(
+    def test_an_unknown_id_asks_for_more_logs(
         self, log: str, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert main(["trace", "r-9", log]) == 2
         assert "logs of all entries" in capsys.readouterr().err
 
-    def test_an_empty_id_is_refused(
+    def test_an_empty_id_is_rejected(
         self, log: str, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """A shell variable is unset, and the whole log comes as one story."""
+        """Guards against an unset variable that selects the whole log."""
         assert main(["trace", "", log]) == 2
-        assert "no request is named" in capsys.readouterr().err
+        assert "the request id is empty" in capsys.readouterr().err
 
-    def test_a_log_that_is_missing_is_named(
-        self, capsys: pytest.CaptureFixture[str]
-    ) -> None:
+    def test_a_missing_log_is_named(self, capsys: pytest.CaptureFixture[str]) -> None:
         assert main(["trace", "r-1", "/nowhere.log"]) == 2
         assert "/nowhere.log" in capsys.readouterr().err
 
-    def test_what_a_collector_puts_before_a_line_names_the_entry(
+    def test_the_prefix_of_a_collector_names_the_entry(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         path = tmp_path / "all.log"
--- a/mintsaddle/program/__init__.py
+++ b/mintsaddle/program/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon's program; it stands above the roles that it starts."""
+"""Entry point of the daemon, which starts the configured role."""
 
 from mintsaddle.program._main import load_settings, main
 
--- a/mintsaddle/program/_main.py
+++ b/mintsaddle/program/_main.py
@@ -1,13 +1,13 @@
-"""Run one daemon of mintsaddle.
+"""Run a mintsaddle daemon.
 
 Usage:
   mintsaddled --settings FILE [--check]
   mintsaddled --help
 
 Options:
-  --settings FILE  The daemon's settings: an INI file, or the platform's file
-                   if its name ends in .toml.
-  --check          Only check the settings and exit.
+  --settings FILE  Settings of the daemon: an INI file, or the platform's
+                   settings file if its name ends in .toml.
+  --check          Check the settings and exit.
   --help           Show this page.
 """
 
@@ -31,13 +31,14 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the daemon until it is told to stop.
+    """Run the daemon until it is requested to stop.
 
     Args:
-        arguments: The command line without the program's name.
+        arguments: Command-line arguments without the program name; those of
+            the process by default.
 
     Returns:
-        The exit code: 0 after a stop that was asked for, 2 for bad settings.
+        The exit code: 0 after a requested stop, 2 for invalid settings.
     """
     options = docopt(str(__doc__), arguments)
     path = options["--settings"]
@@ -57,7 +58,7 @@
 
 
 def load_settings(path: str) -> Result[Settings, Findings]:
-    """Return the settings in a file, or everything wrong with it."""
+    """Return the settings in a file, or all errors in it."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -71,6 +72,6 @@
     run = run_entry if settings.role is Role.ENTRY else run_endpoint
     code = run(settings)
     stop_logging()
-    # All work is done. A helper thread may still wait in a watch of the
-    # platform, and Python would wait for it: a stop would take up to 25 s.
+    # All work is done. Skip Python's wait for helper threads: one may be
+    # blocked for up to 25 s in a watch request to the platform.
     os._exit(code)
