--- a/mintsaddle/direct/tests/test_probe.py
+++ b/mintsaddle/direct/tests/test_probe.py
@@ -13,7 +13,7 @@
 from mintsaddle.direct.tests.clocks import Clock
 from mintsaddle.platform.tests.test_taking_items import SETTINGS
 from mintsaddle.rank_agent._agent import RankAgent
-from mintsaddle.rank_agent.tests.standins import Engine
+from mintsaddle.rank_agent.tests.standins import FakeEngine
 
 TIMEOUT = 3.0
 """Seconds for answers that do come, however busy the machine is."""
@@ -29,8 +29,8 @@
 
 
 @pytest.fixture
-def engine() -> Iterator[Engine]:
-    engine = Engine(show)
+def engine() -> Iterator[FakeEngine]:
+    engine = FakeEngine(show)
     yield engine
     engine.stop()
 
@@ -42,7 +42,7 @@
 
 class TestLoadProbe:
     def test_running_and_waiting_requests_are_told(
-        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: Engine
+        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: FakeEngine
     ) -> None:
         monkeypatch.setattr(_probe, "REPLY_SECONDS", TIMEOUT)
         agent = RankAgent("127.0.0.1:0", engine.address, "/mintsaddle/", TIMEOUT)
--- a/mintsaddle/direct/tests/test_rank_calls.py
+++ b/mintsaddle/direct/tests/test_rank_calls.py
@@ -21,7 +21,7 @@
 from mintsaddle.direct.tests.clocks import Clock
 from mintsaddle.platform.tests.test_taking_items import SETTINGS
 from mintsaddle.rank_agent._agent import RankAgent
-from mintsaddle.rank_agent.tests.standins import Engine
+from mintsaddle.rank_agent.tests.standins import FakeEngine
 
 MODEL = ExpertModel(layers=1, experts=2, places=2, new_places=1, load_seconds=0.1)
 TIMEOUT = 3.0
@@ -39,20 +39,20 @@
 
 
 @pytest.fixture
-def engine() -> Iterator[Engine]:
-    engine = Engine(show)
+def engine() -> Iterator[FakeEngine]:
+    engine = FakeEngine(show)
     yield engine
     engine.stop()
 
 
 @pytest.fixture
-def agent(engine: Engine) -> RankAgent:
+def agent(engine: FakeEngine) -> RankAgent:
     agent = RankAgent("127.0.0.1:0", engine.address, "/mintsaddle/", TIMEOUT)
     threading.Thread(target=agent.serve, daemon=True).start()
     return agent
 
 
-def make_group(*engines: Engine) -> RankGroup:
+def make_group(*engines: FakeEngine) -> RankGroup:
     ranks = tuple(
         Incarnation(
             f"r-{rank}",
@@ -92,7 +92,7 @@
         self,
         monkeypatch: pytest.MonkeyPatch,
         clock: Clock,
-        engine: Engine,
+        engine: FakeEngine,
         agent: RankAgent,
     ) -> None:
         calls, _ = make_calls(monkeypatch, clock, port_of(agent))
@@ -105,7 +105,7 @@
         self,
         monkeypatch: pytest.MonkeyPatch,
         clock: Clock,
-        engine: Engine,
+        engine: FakeEngine,
         agent: RankAgent,
     ) -> None:
         """Guards against a hold that nobody can release while a VM sleeps."""
@@ -129,7 +129,7 @@
 
 class TestWithoutAgents:
     def test_a_silent_agent_is_left_out_for_a_while(
-        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: Engine
+        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: FakeEngine
     ) -> None:
         """Guards against polls that each wait for a dead agent."""
         calls, counted = make_calls(monkeypatch, clock, port=9, seconds=0.02)
@@ -144,7 +144,7 @@
         assert calls.reachable_ranks(group) == frozenset({0})
 
     def test_no_agents_are_asked_where_there_are_none(
-        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: Engine
+        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: FakeEngine
     ) -> None:
         calls, counted = make_calls(monkeypatch, clock, port=0)
         group = make_group(engine)
@@ -153,10 +153,10 @@
         assert not counted
 
     def test_an_engine_that_gives_no_answer_is_missing(
-        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: Engine
+        self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: FakeEngine
     ) -> None:
         calls, _ = make_calls(monkeypatch, clock, port=0)
-        engine.is_breaking = True
+        engine.withholds_responses = True
         group = make_group(engine)
         poll = calls.poll(group, [0], [0])
         assert (poll.reports, poll.counts) == ({}, {})
--- a/mintsaddle/rank_agent/tests/standins.py
+++ b/mintsaddle/rank_agent/tests/standins.py
@@ -9,20 +9,20 @@
 from mintsaddle.rank_agent import RankCall
 
 
-class Engine:
-    """HTTP server that records calls and can break or close connections."""
+class FakeEngine:
+    """Records calls; can withhold responses and close connections."""
 
-    def __init__(self, show: Callable[[str], Any] | None = None) -> None:
+    def __init__(self, make_body: Callable[[str], Any] | None = None) -> None:
         """Start serving on a free port.
 
         Args:
-            show: Returns the response body for a path. By default, the body
-                holds the number of calls so far.
+            make_body: Returns the JSON content of the response for a path. By
+                default, it holds the number of calls so far.
         """
         self.calls: list[RankCall] = []
         self.connections = 0
-        self.is_closing = False
-        self.is_breaking = False
+        self.closes_connections = False
+        self.withholds_responses = False
         engine = self
 
         class Handler(BaseHTTPRequestHandler):
@@ -45,18 +45,20 @@
                 length = int(self.headers.get("Content-Length") or 0)
                 text = self.rfile.read(length).decode()
                 engine.calls.append(RankCall(self.command, self.path, text))
-                if engine.is_breaking:
+                if engine.withholds_responses:
                     self.close_connection = True
                     return
-                shown = show(self.path) if show else {"step": len(engine.calls)}
-                body = json.dumps(shown).encode()
+                content = (
+                    make_body(self.path) if make_body else {"step": len(engine.calls)}
+                )
+                body = json.dumps(content).encode()
                 self.send_response(200)
                 self.send_header("Content-Length", str(len(body)))
                 self.end_headers()
                 self.wfile.write(body)
                 # Without a ``Connection: close`` header, as engines close
                 # idle connections.
-                self.close_connection = engine.is_closing
+                self.close_connection = engine.closes_connections
 
         self._server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self._server.daemon_threads = True
--- a/mintsaddle/rank_agent/tests/test_agent.py
+++ b/mintsaddle/rank_agent/tests/test_agent.py
@@ -20,7 +20,7 @@
 )
 from mintsaddle.rank_agent._agent import RankAgent
 from mintsaddle.rank_agent._engine import EngineConnection
-from mintsaddle.rank_agent.tests.standins import Engine
+from mintsaddle.rank_agent.tests.standins import FakeEngine
 
 REPORT = RankCall("GET", "/rank/report")
 ORDER = RankCall("POST", "/rank/order", '{"op":"go"}')
@@ -30,14 +30,14 @@
 
 
 @pytest.fixture
-def engine() -> Iterator[Engine]:
-    engine = Engine()
+def engine() -> Iterator[FakeEngine]:
+    engine = FakeEngine()
     yield engine
     engine.stop()
 
 
 @pytest.fixture
-def agent(engine: Engine) -> RankAgent:
+def agent(engine: FakeEngine) -> RankAgent:
     agent = RankAgent("127.0.0.1:0", engine.address, "/rank/", TIMEOUT)
     threading.Thread(target=agent.serve, daemon=True).start()
     return agent
@@ -50,7 +50,7 @@
 
 class TestCalls:
     def test_calls_are_made_in_order_on_one_connection(
-        self, engine: Engine, agent: RankAgent, link: AgentLink
+        self, engine: FakeEngine, agent: RankAgent, link: AgentLink
     ) -> None:
         answers = link.ask({agent.address: [REPORT, ORDER]})
         assert answers == {
@@ -64,14 +64,14 @@
         assert engine.connections == 1
 
     def test_paths_outside_the_prefix_are_rejected(
-        self, engine: Engine, agent: RankAgent, link: AgentLink
+        self, engine: FakeEngine, agent: RankAgent, link: AgentLink
     ) -> None:
         asked = link.ask({agent.address: [RankCall("POST", "/letter/1", "x")]})
         assert asked == {agent.address: (NO_RESPONSE,)}
         assert engine.calls == []
 
     def test_an_invalid_datagram_doesnt_stop_an_agent(
-        self, engine: Engine, agent: RankAgent, link: AgentLink
+        self, engine: FakeEngine, agent: RankAgent, link: AgentLink
     ) -> None:
         host, _, port = agent.address.rpartition(":")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
@@ -80,20 +80,20 @@
 
 
 class TestLostAnswers:
-    def test_a_read_is_repeated_on_a_fresh_connection(self, engine: Engine) -> None:
+    def test_a_read_is_repeated_on_a_fresh_connection(self, engine: FakeEngine) -> None:
         """Guards against a group that looks down after an idle close.
 
         The engine closes the connection after each response, so the next read
         fails on it.
         """
-        engine.is_closing = True
+        engine.closes_connections = True
         link = EngineConnection(engine.address, TIMEOUT)
         assert [link.call(REPORT).status for _ in range(3)] == [200] * 3
         assert link.is_reachable
 
-    def test_an_order_is_not_sent_twice(self, engine: Engine) -> None:
+    def test_an_order_is_not_sent_twice(self, engine: FakeEngine) -> None:
         """Guards against an agent that repeats an order after newer ones."""
-        engine.is_breaking = True
+        engine.withholds_responses = True
         link = EngineConnection(engine.address, TIMEOUT)
         assert link.call(ORDER) is NO_RESPONSE
         assert engine.calls == [ORDER]
@@ -124,7 +124,7 @@
 
 
 class TestProgram:
-    def test_it_serves_until_sigterm(self, engine: Engine) -> None:
+    def test_it_serves_until_sigterm(self, engine: FakeEngine) -> None:
         process = subprocess.Popen(
             [
                 sys.executable,
