--- a/mintsaddle/daemon/_node.py
+++ b/mintsaddle/daemon/_node.py
@@ -22,13 +22,13 @@
     must_wait_for_text,
 )
 from mintsaddle.fleet import read_fleet
-from mintsaddle.observe import HistogramBook, make_logger
+from mintsaddle.observe import HistogramRegistry, make_logger
 from mintsaddle.settings import Settings
 from mintsaddle.transport import (
     ChannelPool,
     LoopThread,
+    decompress_value,
     read_stamp,
-    unpack_value,
     write_stamp,
 )
 from mintsaddle.transport.proto import peer_pb2 as pb
@@ -66,7 +66,7 @@
         self._configuration = ConfigurationState()
         self._channels = ChannelPool()
         self._helpers = ThreadPoolExecutor(_HELPERS, "helper")
-        self._book = HistogramBook()
+        self._book = HistogramRegistry()
         self._gate = ReadinessGate(
             frozenset(), give_up_at=self._boot_at + _GATE_TIMEOUT
         )
@@ -119,7 +119,7 @@
         return self._helpers
 
     @property
-    def book(self) -> HistogramBook:
+    def book(self) -> HistogramRegistry:
         """Histograms of this daemon."""
         return self._book
 
@@ -240,11 +240,11 @@
         self.count_control(request, reply)
         sender = read_stamp(reply.stamp)
         if reply.text:
-            text = unpack_value(reply.text)
+            text = decompress_value(reply.text)
             if text is not None:
                 await self.offer_text(sender.text_revision, text)
         if reply.marks:
-            marks = unpack_value(reply.marks)
+            marks = decompress_value(reply.marks)
             if marks is not None:
                 self.offer_marks(sender.marks_revision, marks)
         # Heard only now: the gate would open before its word is in force.
--- a/mintsaddle/rank_agent/tests/standins.py
+++ b/mintsaddle/rank_agent/tests/standins.py
@@ -1,4 +1,4 @@
-"""A stand-in of a rank's engine, as far as agents and their tests need it."""
+"""A fake rank engine with the HTTP behaviour that agents depend on."""
 
 import json
 import threading
@@ -9,20 +9,20 @@
 from mintsaddle.rank_agent import RankCall
 
 
-class Engine:
-    """An engine that notes calls; breaks or closes connections when told."""
+class FakeEngine:
+    """Records calls; can withhold responses and close connections."""
 
-    def __init__(self, show: Callable[[str], Any] | None = None) -> None:
-        """Serve on a port of its own.
+    def __init__(self, make_body: Callable[[str], Any] | None = None) -> None:
+        """Start serving on a free port.
 
         Args:
-            show: Returns what a call to a path is answered with; the number of
-                calls so far if there is none.
+            make_body: Returns the JSON content of the response for a path. By
+                default, it holds the number of calls so far.
         """
         self.calls: list[RankCall] = []
         self.connections = 0
-        self.is_closing = False
-        self.is_breaking = False
+        self.closes_connections = False
+        self.withholds_responses = False
         engine = self
 
         class Handler(BaseHTTPRequestHandler):
@@ -45,17 +45,20 @@
                 length = int(self.headers.get("Content-Length") or 0)
                 text = self.rfile.read(length).decode()
                 engine.calls.append(RankCall(self.command, self.path, text))
-                if engine.is_breaking:
+                if engine.withholds_responses:
                     self.close_connection = True
                     return
-                shown = show(self.path) if show else {"step": len(engine.calls)}
-                body = json.dumps(shown).encode()
+                content = (
+                    make_body(self.path) if make_body else {"step": len(engine.calls)}
+                )
+                body = json.dumps(content).encode()
                 self.send_response(200)
                 self.send_header("Content-Length", str(len(body)))
                 self.end_headers()
                 self.wfile.write(body)
-                # Without notice, as engines close idle connections.
-                self.close_connection = engine.is_closing
+                # Without a ``Connection: close`` header, as engines close
+                # idle connections.
+                self.close_connection = engine.closes_connections
 
         self._server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self._server.daemon_threads = True
