--- a/mintsaddle/direct/_answers.py
+++ b/mintsaddle/direct/_answers.py
@@ -1,4 +1,4 @@
-"""What a caller sends, and what it gets in the end."""
+"""The request of a caller and the kinds of answers to it."""
 
 from collections.abc import Iterator
 from typing import Any, NamedTuple, TypeAlias
@@ -6,19 +6,19 @@
 from mintsaddle.decisions.direct import GiveUp
 
 
-class CallerMessage(NamedTuple):
-    """The caller's HTTP request, as it is passed on."""
+class CallerRequest(NamedTuple):
+    """The caller's HTTP request, as it is forwarded."""
 
     environ: dict[str, Any]
     method: str
     target: str
-    """Raw path and query."""
+    """Raw path and query string."""
 
     body: bytes
 
 
-class WholeAnswer(NamedTuple):
-    """An endpoint's whole answer."""
+class BufferedAnswer(NamedTuple):
+    """An endpoint's answer that has been read completely."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -26,12 +26,12 @@
 
 
 class StreamAnswer(NamedTuple):
-    """A stream that has begun."""
+    """An event stream whose head has been received."""
 
     status: int
     headers: list[tuple[str, str]]
     events: Iterator[bytes]
 
 
-CallAnswer: TypeAlias = WholeAnswer | StreamAnswer | GiveUp
-"""What the caller gets."""
+CallAnswer: TypeAlias = BufferedAnswer | StreamAnswer | GiveUp
+"""The final result of a call."""
--- a/mintsaddle/direct/_app.py
+++ b/mintsaddle/direct/_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers of a direct entry reach."""
+"""The WSGI application that serves callers of a direct entry."""
 
 import threading
 from collections.abc import Iterable, Iterator
@@ -13,9 +13,9 @@
     match_route,
 )
 from mintsaddle.decisions.routing import record_request
-from mintsaddle.direct._answers import CallerMessage, StreamAnswer, WholeAnswer
-from mintsaddle.direct._calls import find_holder, make_call
-from mintsaddle.direct._choice import CallerLeftError
+from mintsaddle.direct._answers import BufferedAnswer, CallerRequest, StreamAnswer
+from mintsaddle.direct._calls import find_key_holder, make_call
+from mintsaddle.direct._choice import CallerDisconnectedError
 from mintsaddle.direct._exchange import StreamCutError
 from mintsaddle.direct._gateway import Gateway
 from mintsaddle.direct._runner import CallRunner
@@ -28,21 +28,21 @@
 StartResponse: TypeAlias = Any
 _Environ: TypeAlias = dict[str, Any]
 
-BELIEF_SECONDS = 4.0
-"""Seconds for which the table is trusted to say that a key or route doesn't
-exist; a watch that is well confirms it every 2.5 s."""
+TABLE_TRUST_SECONDS = 4.0
+"""Maximum age in seconds of a table by which a key or route is denied; a
+healthy watch confirms the table every 2.5 s."""
 
-_SECONDS_UNKNOWN = 3.0
-"""Seconds that a caller is taken to wait if it doesn't say."""
+_DEFAULT_WAIT_SECONDS = 3.0
+"""Seconds that a caller is assumed to wait if it sends no deadline."""
 
-_ROOM_USUALLY = 0.5
-"""Seconds until there is room after most refusals: a stream ends every 0.3 s
-on a dozen engines of six places."""
+_USUAL_RETRY_SECONDS = 0.5
+"""Seconds until a slot is free after most refusals: a stream ends every 0.3 s
+on a dozen engines of six slots."""
 
-_ROOM_SECONDS = {
-    # A lost rank is away for seconds; the group then forms in 0.6 s.
+_RETRY_SECONDS = {
+    # A lost rank is away for seconds; then the group re-forms in 0.6 s.
     Reason.GROUP_DOWN: 4.0,
-    # Endpoints of a service without any take over a second to announce.
+    # The first endpoint of a service takes over a second to announce itself.
     Reason.NO_ENDPOINT: 1.5,
 }
 
@@ -50,62 +50,65 @@
 
 
 class DirectApp:
-    """Turns each caller's HTTP request into a call and its answer."""
+    """Turns each caller's HTTP request into a call and serves its answer."""
 
-    def __init__(self, gateway: Gateway, watchdog: Watchdog, most_calls: int) -> None:
+    def __init__(self, gateway: Gateway, watchdog: Watchdog, max_calls: int) -> None:
         self._gateway = gateway
         self._watchdog = watchdog
-        self._most_calls = most_calls
-        self._open = 0
+        self._max_calls = max_calls
+        self._open_calls = 0
         self._lock = threading.Lock()
 
     @property
     def open_calls(self) -> int:
-        """Callers that are being answered."""
-        return self._open
+        """Number of requests that are being served."""
+        return self._open_calls
 
-    def __call__(self, environ: _Environ, start: StartResponse) -> Iterable[bytes]:
+    def __call__(
+        self, environ: _Environ, start_response: StartResponse
+    ) -> Iterable[bytes]:
         with self._lock:
-            self._open += 1
-            is_full = self._open > self._most_calls
-        answer = self._answer(environ, start, is_full=is_full)
-        return _Closing(answer, self._leave)
+            self._open_calls += 1
+            is_full = self._open_calls > self._max_calls
+        answer = self._answer(environ, start_response, is_full=is_full)
+        return _ClosingBody(answer, self._record_closed)
 
-    def _leave(self) -> None:
+    def _record_closed(self) -> None:
         with self._lock:
-            self._open -= 1
+            self._open_calls -= 1
 
     def _answer(
-        self, environ: _Environ, start: StartResponse, *, is_full: bool
+        self, environ: _Environ, start_response: StartResponse, *, is_full: bool
     ) -> Iterable[bytes]:
         arrived_at = self._gateway.now()
         head = read_caller_head(environ)
         table = self._gateway.directory.table
         if table is None:
-            return self._refuse(start, head, Reason.BEHIND)
+            return self._refuse(start_response, head, Reason.BEHIND)
         if is_full:
-            return self._refuse(start, head, Reason.FULL)
+            return self._refuse(start_response, head, Reason.FULL)
         target = str(environ.get("REQUEST_URI") or environ["PATH_INFO"])
         host = str(environ.get("HTTP_HOST", ""))
         route = match_route(table, host, target.partition("?")[0])
         if route is None:
-            return self._deny(start, head, "404 Not Found", "no-route")
-        holder = find_holder(table, route, head)
+            return self._deny(start_response, head, "404 Not Found", "no-route")
+        holder = find_key_holder(table, route, head)
         if holder is None:
-            return self._deny(start, head, "401 Unauthorized", "no-key")
+            return self._deny(start_response, head, "401 Unauthorized", "no-key")
         if not head.request_id:
-            start("400 Bad Request", [])
+            start_response("400 Bad Request", [])
             return ()
         body = environ["wsgi.input"].read()
         call = self._make_call(head, route, holder, arrived_at)
-        message = CallerMessage(environ, environ["REQUEST_METHOD"], target, body)
-        return self._run(environ, start, call, message)
+        request = CallerRequest(environ, environ["REQUEST_METHOD"], target, body)
+        return self._run(environ, start_response, call, request)
 
     def _make_call(
         self, head: CallerHead, route: Route, holder: KeyHolder, arrived_at: Instant
     ) -> DirectCall:
-        # A few callers that bring more than the operator allows would make all
-        # others look as if they had come back.
+        # Deadlines beyond the route's timeout are capped before they are
+        # recorded: a few of them would make all other callers look like ones
+        # that retry.
         left = route.timeout
         if head.seconds_left is not None:
             left = min(left, head.seconds_left)
@@ -113,42 +116,42 @@
         with self._gateway.lock:
             deadlines.note(route.name, left)
             is_returning = deadlines.is_returning(route.name, left)
-        # What is asked again after a refusal is late at its arrival.
+        # A request that is retried after a refusal is late on arrival.
         due_at = arrived_at if is_returning else arrived_at + route.objective
         return make_call(head, route, holder, arrived_at, due_at)
 
     def _run(
         self,
         environ: _Environ,
-        start: StartResponse,
+        start_response: StartResponse,
         call: DirectCall,
-        message: CallerMessage,
+        request: CallerRequest,
     ) -> Iterable[bytes]:
         gateway = self._gateway
         with gateway.lock:
             record_request(gateway.routing)
-        is_gone = environ["waitress.client_disconnected"]
-        runner = CallRunner(gateway, self._watchdog, call, message, is_gone)
+        is_disconnected = environ["waitress.client_disconnected"]
+        runner = CallRunner(gateway, self._watchdog, call, request, is_disconnected)
         try:
             answer = runner.run()
-        except CallerLeftError:
+        except CallerDisconnectedError:
             self._log_end(runner.call, "caller-left", 0)
-            start("499 Client Closed Request", [])
+            start_response("499 Client Closed Request", [])
             return ()
         match answer:
-            case WholeAnswer(status, headers, body):
+            case BufferedAnswer(status, headers, body):
                 self._record(call, Measure.FIRST)
                 self._record(call, Measure.WHOLE)
                 self._log_end(runner.call, "answered", status)
                 length = ("Content-Length", str(len(body)))
-                start(f"{status} From endpoint", [*headers, length])
+                start_response(f"{status} From endpoint", [*headers, length])
                 return [body]
             case StreamAnswer(status, headers, events):
-                start(f"{status} From endpoint", headers)
+                start_response(f"{status} From endpoint", headers)
                 return self._stream(runner, events)
             case GiveUp(outcome, reason):
-                return self._end(start, runner.call, outcome, reason)
-        raise AssertionError("an answer is whole, a stream or an end")
+                return self._give_up(start_response, runner.call, outcome, reason)
+        raise AssertionError("unexpected type of answer")
 
     def _stream(self, runner: CallRunner, events: Iterator[bytes]) -> Iterator[bytes]:
         ending = "caller-left"
@@ -163,71 +166,77 @@
             if timing.is_late(runner.call.route):
                 self._gateway.metrics.count("streams_late")
         except StreamCutError:
-            # Raised on: the server then closes the connection without the
-            # last chunk, so a cut stream can't look complete.
+            # Re-raised, so that the server closes the connection without the
+            # last chunk and a truncated stream can't look complete.
             ending = "cut"
             raise
         finally:
             self._record(runner.call, Measure.WHOLE)
             self._log_end(runner.call, ending, 200, timing)
 
-    def _end(
-        self, start: StartResponse, call: DirectCall, outcome: Outcome, reason: Reason
+    def _give_up(
+        self,
+        start_response: StartResponse,
+        call: DirectCall,
+        outcome: Outcome,
+        reason: Reason,
     ) -> Iterable[bytes]:
         self._log_end(call, f"{outcome.value}:{reason.value}", 0)
         left = call.deadline - self._gateway.now()
-        retry_after = self._advise(left, reason, call.service)
+        retry_after = self._retry_after(left, reason, call.service)
         status, headers = make_refusal(outcome, reason, call.request_id, retry_after)
-        start(status, [*headers, ("Content-Length", "0")])
+        start_response(status, [*headers, ("Content-Length", "0")])
         return ()
 
     def _refuse(
-        self, start: StartResponse, head: CallerHead, reason: Reason
+        self, start_response: StartResponse, head: CallerHead, reason: Reason
     ) -> Iterable[bytes]:
-        """Refuse a request that went nowhere."""
+        """Refuse a request that was sent to no endpoint."""
         self._gateway.metrics.count(f"refused_{reason.value}")
         _log.info(
             "Refused %s.", fields(request=head.request_id or "-", reason=reason.value)
         )
-        left = head.seconds_left or _SECONDS_UNKNOWN
-        retry_after = self._advise(left, reason)
+        left = head.seconds_left or _DEFAULT_WAIT_SECONDS
+        retry_after = self._retry_after(left, reason)
         status, headers = make_refusal(
             Outcome.NOT_RUN, reason, head.request_id, retry_after
         )
-        start(status, [*headers, ("Content-Length", "0")])
+        start_response(status, [*headers, ("Content-Length", "0")])
         return ()
 
     def _deny(
-        self, start: StartResponse, head: CallerHead, status: str, why: str
+        self, start_response: StartResponse, head: CallerHead, status: str, reason: str
     ) -> Iterable[bytes]:
-        """Deny what the table doesn't allow, if the table is known to be new.
+        """Deny what the table doesn't allow, if the table is recent.
 
-        Guards against a permanent answer from an entry that is cut off: a key
-        or route may have been added since, and 401 and 404 aren't retried.
+        An entry that is cut off must not deny: a key or route may have been
+        added since, and callers don't retry after 401 or 404.
         """
-        if not self._gateway.is_fresh(BELIEF_SECONDS):
-            return self._refuse(start, head, Reason.BEHIND)
+        if not self._gateway.is_fresh(TABLE_TRUST_SECONDS):
+            return self._refuse(start_response, head, Reason.BEHIND)
         table = self._gateway.directory.table
         version = table.version if table else 0
-        self._gateway.metrics.count(f"denied_{why}")
+        self._gateway.metrics.count(f"denied_{reason}")
         _log.info(
             "Denied %s.",
-            fields(request=head.request_id or "-", why=why, version=version),
+            fields(request=head.request_id or "-", why=reason, version=version),
         )
-        start(status, [("Content-Length", "0")])
+        start_response(status, [("Content-Length", "0")])
         return ()
 
-    def _advise(self, seconds_left: float, reason: Reason, service: str = "") -> float:
+    def _retry_after(
+        self, seconds_left: float, reason: Reason, service: str = ""
+    ) -> float:
         gateway = self._gateway
-        wished = _ROOM_SECONDS.get(reason, _ROOM_USUALLY)
+        preferred = _RETRY_SECONDS.get(reason, _USUAL_RETRY_SECONDS)
         if reason is Reason.RATE_LIMITED:
             permit_at = gateway.next_permit_at(service)
             if permit_at is not None:
-                wished = permit_at - gateway.now()
+                preferred = permit_at - gateway.now()
         if reason is Reason.ISOLATED:
-            wished = max(_ROOM_USUALLY, gateway.reach.seconds_to_move)
+            preferred = max(_USUAL_RETRY_SECONDS, gateway.reach.seconds_to_move)
         with gateway.lock:
-            return advise_retry(seconds_left, wished, gateway.rng)
+            return advise_retry(seconds_left, preferred, gateway.rng)
 
     def _record(self, call: DirectCall, measure: Measure) -> None:
         name = HistogramName(call.workspace or "none", call.route.name, measure)
@@ -259,8 +268,8 @@
         )
 
 
-class _Closing:
-    """An answer's body; says so once the server is done with it."""
+class _ClosingBody:
+    """An answer's body that calls a function when the server closes it."""
 
     def __init__(self, body: Iterable[bytes], on_close: Any) -> None:
         self._body = body
@@ -270,7 +279,7 @@
         return iter(self._body)
 
     def close(self) -> None:
-        """End the body and what it is read from; called by the server."""
+        """Close the wrapped body; called by the server."""
         try:
             close = getattr(self._body, "close", None)
             if close is not None:
--- a/mintsaddle/direct/_calls.py
+++ b/mintsaddle/direct/_calls.py
@@ -1,4 +1,4 @@
-"""Making a call of what a caller's head and the routing table say."""
+"""Creates a call from a caller's request head and the routing table."""
 
 from mintsaddle.decisions.direct import (
     DirectCall,
@@ -10,19 +10,19 @@
 from mintsaddle.platform import CallerHead
 from mintsaddle.values import Instant
 
-NO_KEY = KeyHolder("", None)
-"""Who calls where no key is needed."""
+ANONYMOUS = KeyHolder("", None)
+"""Stands for callers of routes and tables that need no key."""
 
 
-def find_holder(
+def find_key_holder(
     table: RoutingTable, route: Route, head: CallerHead
 ) -> KeyHolder | None:
-    """Return who calls, or None when the key names nobody."""
+    """Return the holder of the caller's key; None if it is unknown."""
     if table.keys is None:
-        return NO_KEY
+        return ANONYMOUS
     holder = table.keys.get(head.key)
     if holder is None and route.is_open:
-        return NO_KEY
+        return ANONYMOUS
     return holder
 
 
@@ -33,12 +33,12 @@
     arrived_at: Instant,
     due_at: Instant,
 ) -> DirectCall:
-    """Return the call of a request that is allowed.
+    """Return the call for an allowed request.
 
     Args:
-        head: What the caller's head says.
+        head: The parsed head of the request.
         route: The route that it matches.
-        holder: Who calls.
+        holder: The holder of its key.
         arrived_at: When it arrived.
         due_at: Until when its answer is on time.
     """
--- a/mintsaddle/direct/_choice.py
+++ b/mintsaddle/direct/_choice.py
@@ -1,4 +1,4 @@
-"""Choosing the endpoint for a call, and waiting while there is none."""
+"""Selects the endpoint for a call, and waits while none is available."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -24,38 +24,39 @@
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.values import MILLISECONDS, Instant, Reason
 
-_POLL_SECONDS = 0.2
-"""Seconds between two polls whether a waiting caller has left."""
+_DISCONNECT_POLL_SECONDS = 0.2
+"""Seconds between two checks whether a waiting caller has disconnected."""
 
-_ROOM_SECONDS = 0.2
-"""Seconds between two tries of a stream that waits for its group's pace; each
-costs a few probes."""
+_SLOT_POLL_SECONDS = 0.2
+"""Seconds between two attempts to admit a stream that waits until its group's
+steps get shorter; each attempt costs a few probes."""
 
 _log = make_logger("calls")
 
 
-class CallerLeftError(ConnectionError):
-    """The caller has hung up; nobody reads an answer."""
+class CallerDisconnectedError(ConnectionError):
+    """The caller has disconnected, so nobody reads an answer."""
 
 
 def choose_endpoint(
-    gateway: Gateway, call: DirectCall, is_gone: Callable[[], bool]
+    gateway: Gateway, call: DirectCall, is_disconnected: Callable[[], bool]
 ) -> Incarnation | Reason:
     """Return the endpoint to try, or why there is none.
 
-    While the service's groups are all down, or its endpoints are cold and have
-    got their share, the request waits here: sent there, it would be refused.
+    The request waits here while all groups of the service are down, or while
+    its endpoints are cold and have received their share of requests. They
+    would refuse it if it were sent.
 
     Args:
-        gateway: What the entry believes.
-        call: The call, with the endpoints that it was sent to.
-        is_gone: Whether its caller has hung up.
+        gateway: The entry's shared state.
+        call: The call, including the endpoints that were tried already.
+        is_disconnected: Returns whether the caller has disconnected.
 
     Raises:
-        CallerLeftError: The caller has hung up meanwhile.
+        CallerDisconnectedError: The caller disconnected while it waited.
     """
     while True:
-        ranked = _await_ranked(gateway, call, is_gone)
+        ranked = _await_ranked(gateway, call, is_disconnected)
         if isinstance(ranked, Reason):
             return ranked
         with gateway.lock:
@@ -65,27 +66,27 @@
         loads = _probe_loads(gateway, ranked, slow)
         admitted = _admit(gateway, call, ranked, loads)
         if admitted:
-            endpoint = _take(gateway, call, admitted, loads)
+            endpoint = _reserve_endpoint(gateway, call, admitted, loads)
             if endpoint is not None:
                 return endpoint
         elif may_wait_for_slot(call, loads, gateway.now()):
-            _wait_for_room(gateway, is_gone)
+            _wait_for_slot(gateway, is_disconnected)
         else:
             _record_not_admitted(gateway, call, ranked[:MAX_PROBES], loads)
-            return _reason_full(gateway)
+            return _unavailable_reason(gateway)
 
 
 def _await_ranked(
-    gateway: Gateway, call: DirectCall, is_gone: Callable[[], bool]
+    gateway: Gateway, call: DirectCall, is_disconnected: Callable[[], bool]
 ) -> list[Incarnation] | Reason:
-    """Return the endpoints that may be tried, the best one first."""
+    """Return the endpoints that may be tried, best first."""
     with gateway.groups_changed:
-        working = _await_working(gateway, call, is_gone)
-        if isinstance(working, Reason):
-            return working
+        available = _await_available(gateway, call, is_disconnected)
+        if isinstance(available, Reason):
+            return available
         ranked = rank_incarnations(
             gateway.routing,
-            working,
+            available,
             call.tried,
             gateway.now(),
             gateway.rng,
@@ -115,13 +116,17 @@
         )
 
 
-def _take(
+def _reserve_endpoint(
     gateway: Gateway,
     call: DirectCall,
     admitted: Sequence[Incarnation],
     loads: Mapping[str, EngineLoad],
 ) -> Incarnation | None:
-    """Choose an endpoint and count the request; None if it left meanwhile."""
+    """Choose an endpoint and count the request as sent to it.
+
+    Returns:
+        None if no permit is granted or the endpoint is no longer usable.
+    """
     requests = {name: load.requests for name, load in loads.items()}
     groups = {one.place.group for one in admitted if one.place is not None}
     with gateway.lock:
@@ -131,45 +136,45 @@
     if not gateway.limits.take_permit(endpoint.name):
         return None
     with gateway.lock:
-        # It may have left, or have got its share, while it was probed.
+        # It may have left or received its share while it was probed.
         if not _is_still_usable(gateway, endpoint):
             return None
         load = gateway.routing.view(endpoint.name).estimate_load(gateway.now())
         gateway.record_chosen(endpoint)
-    told = requests.get(endpoint.name)
-    _log_chosen(gateway, call, endpoint, load, told)
+    reported = requests.get(endpoint.name)
+    _log_chosen(gateway, call, endpoint, load, reported)
     return endpoint
 
 
-def _wait_for_room(gateway: Gateway, is_gone: Callable[[], bool]) -> None:
+def _wait_for_slot(gateway: Gateway, is_disconnected: Callable[[], bool]) -> None:
     with gateway.groups_changed:
-        gateway.groups_changed.wait(_ROOM_SECONDS)
-    if is_gone():
-        raise CallerLeftError
+        gateway.groups_changed.wait(_SLOT_POLL_SECONDS)
+    if is_disconnected():
+        raise CallerDisconnectedError
 
 
-def _reason_full(gateway: Gateway) -> Reason:
-    """Return why no endpoint may get a request at present."""
+def _unavailable_reason(gateway: Gateway) -> Reason:
+    """Return why no endpoint can take a request now."""
     return Reason.GROUP_DOWN if gateway.groups.down_groups() else Reason.FULL
 
 
 def _probe_loads(
     gateway: Gateway, ranked: Sequence[Incarnation], slow: Sequence[Incarnation]
 ) -> dict[str, EngineLoad]:
-    """Ask a few endpoints how loaded they are, and more while all are full.
+    """Read the loads of a few endpoints, and of more while all are full.
 
     Args:
-        gateway: What the entry believes.
-        ranked: Endpoints that may get the request, the best one first.
-        slow: Engines that are only asked for the pace of their groups.
+        gateway: The entry's shared state.
+        ranked: Endpoints that may get the request, best first.
+        slow: Engines that are probed only for the step time of their groups.
     """
     loads: dict[str, EngineLoad] = {}
     for first in range(0, min(len(ranked), MAX_PROBES), PROBES_PER_ROUND):
         asked = list(ranked[first : first + PROBES_PER_ROUND])
-        told = gateway.probe.ask([*asked, *slow] if first == 0 else asked)
-        loads.update(told)
-        _record_paths(gateway, asked, told)
-        requests = {name: load.requests for name, load in told.items()}
+        reports = gateway.probe.read_loads([*asked, *slow] if first == 0 else asked)
+        loads.update(reports)
+        _record_paths(gateway, asked, reports)
+        requests = {name: load.requests for name, load in reports.items()}
         if not loads or has_free_slot(asked, requests):
             break
     _record_paces(gateway, [*ranked[:MAX_PROBES], *slow], loads)
@@ -177,13 +182,13 @@
 
 
 def _record_paths(
-    gateway: Gateway, asked: Sequence[Incarnation], told: Mapping[str, EngineLoad]
+    gateway: Gateway, asked: Sequence[Incarnation], reports: Mapping[str, EngineLoad]
 ) -> None:
-    heard = {one.data_centre for one in asked if one.name in told}
-    for data_centre in heard:
+    reached = {one.data_centre for one in asked if one.name in reports}
+    for data_centre in reached:
         gateway.reach.record(data_centre, came=True)
     for one in asked:
-        if one.place is not None and one.data_centre not in heard:
+        if one.place is not None and one.data_centre not in reached:
             gateway.reach.record(one.data_centre, came=False)
 
 
@@ -214,19 +219,19 @@
     return endpoint in usable and gateway.takes_work(endpoint)
 
 
-def _await_working(
-    gateway: Gateway, call: DirectCall, is_gone: Callable[[], bool]
+def _await_available(
+    gateway: Gateway, call: DirectCall, is_disconnected: Callable[[], bool]
 ) -> list[Incarnation] | Reason:
     wait_until = hold_until(call)
     has_waited = False
     while True:
         usable = usable_endpoints(gateway.directory, call.service)
-        working = [one for one in usable if gateway.takes_work(one)]
+        available = [one for one in usable if gateway.takes_work(one)]
         if not usable:
             return []
-        if working and not has_waited:
-            return working
-        if working:
+        if available and not has_waited:
+            return available
+        if available:
             has_waited = False
             _sleep_until(gateway, place_at(call, gateway.now(), gateway.rng))
             continue
@@ -238,14 +243,14 @@
             return Reason.RATE_LIMITED
         left = (permit_at or wait_until) - gateway.now()
         if left <= 0:
-            return _reason_full(gateway)
-        gateway.groups_changed.wait(min(left, _POLL_SECONDS))
-        if is_gone():
-            raise CallerLeftError
+            return _unavailable_reason(gateway)
+        gateway.groups_changed.wait(min(left, _DISCONNECT_POLL_SECONDS))
+        if is_disconnected():
+            raise CallerDisconnectedError
 
 
 def _sleep_until(gateway: Gateway, instant: Instant) -> None:
-    """Sleep with the lock released."""
+    """Wait until an instant, with the lock released meanwhile."""
     while (left := instant - gateway.now()) > 0:
         gateway.groups_changed.wait(left)
 
@@ -257,18 +262,18 @@
     loads: Mapping[str, EngineLoad],
 ) -> None:
     now = gateway.now()
-    told = [one for one in endpoints if one.name in loads]
-    groups = sorted({one.place.group for one in told if one.place is not None})
+    probed = [one for one in endpoints if one.name in loads]
+    groups = sorted({one.place.group for one in probed if one.place is not None})
     with gateway.lock:
         steps = [gateway.paces.step_seconds(group, now) for group in groups]
     gateway.metrics.count("not_admitted")
     _log.info(
-        "Not admitted %s.",
+        "Request not admitted %s.",
         fields(
             request=call.request_id,
-            probed=len(told),
-            requests=sum(loads[one.name].requests for one in told),
-            slots=sum(one.slots for one in told),
+            probed=len(probed),
+            requests=sum(loads[one.name].requests for one in probed),
+            slots=sum(one.slots for one in probed),
             groups=",".join(groups) or "-",
             step_ms=",".join(f"{seconds * MILLISECONDS:.0f}" for seconds in steps),
             late=is_late(call, now),
@@ -281,7 +286,7 @@
     call: DirectCall,
     endpoint: Incarnation,
     load: int,
-    told: int | None,
+    reported: int | None,
 ) -> None:
     table = gateway.directory.table
     now = gateway.now()
@@ -291,7 +296,7 @@
             request=call.request_id,
             endpoint=endpoint.name,
             load=load,
-            told=told,
+            told=reported,
             slots=endpoint.slots,
             version=table.version if table else 0,
             age=now - gateway.replica.confirmed_at,
--- a/mintsaddle/direct/_exchange.py
+++ b/mintsaddle/direct/_exchange.py
@@ -1,8 +1,8 @@
-"""One request to one endpoint, over a fresh connection or a kept one.
+"""One request to one endpoint, over a new or a reused connection.
 
-A request that runs once gets a fresh connection: on a kept one a reset may
-come from the endpoint's end of an idle connection or from one that runs the
-request, which would leave it in doubt.
+A request that may run only once needs a new connection. A reset on a reused
+one is ambiguous: the endpoint may have closed it as idle, or may have begun to
+run the request.
 """
 
 import http.client
@@ -13,41 +13,42 @@
 from mintsaddle.engines import shut_down
 from mintsaddle.values import MILLISECONDS
 
-CONNECT_SECONDS = 0.4
-"""Seconds for a connection: round trips take 2 ms within a region, and a
-dropped opening packet is sent again only after a second, when another
-endpoint would have answered."""
+CONNECT_TIMEOUT_SECONDS = 0.4
+"""Timeout in seconds for opening a connection. Round trips within a region
+take 2 ms. A lost SYN is sent again only after 1 s, by when another endpoint
+would have answered."""
 
-KEPT_SILENT_SECONDS = 0.5
-"""Seconds for an endpoint's host to acknowledge what is sent on a kept
-connection, which may have gone silent while it was idle."""
+REUSED_ACK_TIMEOUT_SECONDS = 0.5
+"""Seconds within which an endpoint's host has to acknowledge data on a reused
+connection, whose peer may have become unreachable while it was idle."""
 
-_BLOCK = 65_536
+_READ_BYTES = 65_536
 _EVENT_END = b"\n\n"
 _ID_FIELD = b"id:"
 
 
 class StreamCutError(ConnectionError):
-    """An event stream ended before its end.
+    """An event stream ended early.
 
-    A connection error, so that the server closes the caller's connection
-    quietly and without the last chunk: a cut stream never looks complete.
+    It is a ConnectionError so that the server closes the caller's connection
+    without a traceback and without the last chunk: a truncated stream never
+    looks complete.
     """
 
 
 class Event:
-    """One whole event of a stream, as its bytes."""
+    """One complete event of a stream, as raw bytes."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
 
     @property
     def data(self) -> bytes:
-        """The event with the blank line that ends it."""
+        """The event, including the blank line that ends it."""
         return self._data
 
     def read_id(self) -> int | None:
-        """Return the event's id, if it has a numeric one."""
+        """Return the event's id; None if it has none or isn't numeric."""
         for line in self._data.split(b"\n"):
             if line.startswith(_ID_FIELD):
                 text = line[len(_ID_FIELD) :].strip()
@@ -59,26 +60,28 @@
     """One connection to an endpoint; may be aborted from another thread."""
 
     def __init__(self, address: str) -> None:
-        self._connection = http.client.HTTPConnection(address, timeout=CONNECT_SECONDS)
+        self._connection = http.client.HTTPConnection(
+            address, timeout=CONNECT_TIMEOUT_SECONDS
+        )
         self._socket: socket.socket | None = None
         self._response: http.client.HTTPResponse | None = None
         self._aborted = False
-        self._is_kept = False
+        self._is_reused = False
 
     @property
     def aborted(self) -> bool:
-        """Whether another thread has ended it."""
+        """Whether another thread has aborted it."""
         return self._aborted
 
     @property
-    def is_kept(self) -> bool:
-        """Whether another request used the connection before."""
-        return self._is_kept
+    def is_reused(self) -> bool:
+        """Whether the connection has served an earlier request."""
+        return self._is_reused
 
-    def is_quiet(self) -> bool:
-        """Return whether the connection stands and nothing waits to be read.
+    def is_reusable(self) -> bool:
+        """Return whether the connection is open and has no unread data.
 
-        An endpoint that has closed it shows as something to read.
+        A connection that the endpoint has closed counts as readable.
         """
         response = self._response
         if self._aborted or self._socket is None or self._connection.sock is None:
@@ -87,21 +90,21 @@
             return False
         return not select.select([self._socket], [], [], 0)[0]
 
-    def mark_kept(self) -> None:
-        """Note that the connection is used for one more request."""
-        self._is_kept = True
+    def mark_reused(self) -> None:
+        """Mark the connection as used for a further request."""
+        self._is_reused = True
 
     def connect(self) -> bool:
-        """Open the connection unless it is kept; return whether it stands."""
-        if self._is_kept:
+        """Connect unless it is reused; return whether it is open."""
+        if self._is_reused:
             return not self._aborted
         try:
-            self._connection.timeout = CONNECT_SECONDS
+            self._connection.timeout = CONNECT_TIMEOUT_SECONDS
             self._connection.connect()
         except OSError:
             return False
-        # http.client forgets the socket once an answer without a length has
-        # begun; without it a stream couldn't be aborted.
+        # http.client drops its socket once an answer without a length has
+        # begun, but aborting a stream needs it.
         self._socket = self._connection.sock
         return not self._aborted
 
@@ -113,29 +116,30 @@
         body: bytes,
         seconds: float,
     ) -> http.client.HTTPResponse:
-        """Send the request and return the answer, its head read.
+        """Send the request and return the answer, whose head has been read.
 
-        Once more on a fresh connection if a kept one broke before an answer:
-        its endpoint has mostly closed it, and is none the worse for that.
+        If a reused connection breaks before an answer, the request is sent
+        once more on a new one: usually the endpoint has closed the idle
+        connection and is healthy.
 
         Args:
             method: The caller's method.
             target: The caller's raw target.
-            headers: All headers but the length.
-            body: The whole body.
-            seconds: How long the connection may stay silent.
+            headers: All headers except Content-Length.
+            body: The complete body.
+            seconds: Timeout for reads and for unacknowledged data.
 
         Raises:
-            OSError: The connection broke or stayed silent.
-            http.client.HTTPException: What came is no answer.
+            OSError: The connection broke or timed out.
+            http.client.HTTPException: The reply is no valid answer.
         """
         try:
             self._response = self._send(method, target, headers, body, seconds)
         except (OSError, http.client.HTTPException):
-            if not self._is_kept or self._aborted:
+            if not self._is_reused or self._aborted:
                 raise
             self._connection.close()
-            self._is_kept = False
+            self._is_reused = False
             if not self.connect():
                 raise
             self._response = self._send(method, target, headers, body, seconds)
@@ -153,10 +157,12 @@
         assert self._socket is not None
         self._socket.settimeout(seconds)
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # Guards against a peer that is cut off: without it, unacknowledged
-        # bytes would keep the connection alive for minutes.
-        silent_seconds = min(seconds, KEPT_SILENT_SECONDS) if self._is_kept else seconds
-        timeout = int(silent_seconds * MILLISECONDS)
+        # Without a timeout for unacknowledged data, the connection to a peer
+        # that is cut off would stay open for minutes.
+        ack_seconds = (
+            min(seconds, REUSED_ACK_TIMEOUT_SECONDS) if self._is_reused else seconds
+        )
+        timeout = int(ack_seconds * MILLISECONDS)
         self._socket.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, max(1, timeout)
         )
@@ -169,12 +175,12 @@
             connection.endheaders(body or None)
         except (BrokenPipeError, ConnectionResetError):
             # An endpoint may refuse a long body before it has read all of it;
-            # its answer may stand in the buffer already.
+            # its answer may be in the receive buffer already.
             return connection.getresponse()
         return connection.getresponse()
 
     def abort(self) -> None:
-        """Break the connection, which tells the endpoint to stop."""
+        """Shut the connection down, which tells the endpoint to stop."""
         self._aborted = True
         shut_down(self._socket)
 
@@ -186,11 +192,11 @@
 
 
 def read_body(response: http.client.HTTPResponse) -> bytes:
-    """Return a whole body.
+    """Return a complete body.
 
     Raises:
         OSError: The connection broke.
-        http.client.HTTPException: The body is shorter than it should be.
+        http.client.HTTPException: The body is shorter than announced.
     """
     body = response.read()
     if response.length:
@@ -199,22 +205,22 @@
 
 
 def read_events(response: http.client.HTTPResponse) -> Iterator[Event]:
-    """Give each whole event as it arrives.
+    """Yield each complete event as it arrives.
 
     Raises:
         OSError: The connection broke.
         http.client.HTTPException: The body ended early.
         StreamCutError: The body ended in the middle of an event.
     """
-    rest = b""
+    partial = b""
     while True:
-        block = response.read1(_BLOCK)
+        block = response.read1(_READ_BYTES)
         if not block:
             break
-        *whole, rest = (rest + block).split(_EVENT_END)
-        for data in whole:
+        *complete, partial = (partial + block).split(_EVENT_END)
+        for data in complete:
             yield Event(data + _EVENT_END)
     if response.length:
-        raise http.client.IncompleteRead(rest, response.length)
-    if rest.strip():
+        raise http.client.IncompleteRead(partial, response.length)
+    if partial.strip():
         raise StreamCutError
--- a/mintsaddle/direct/_metrics.py
+++ b/mintsaddle/direct/_metrics.py
@@ -7,28 +7,28 @@
 
 
 class Metrics:
-    """What the metrics page shows; used by all threads."""
+    """Counters and histograms for the metrics page. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._counts: Counter[str] = Counter()
-        self._book = HistogramBook()
+        self._counters: Counter[str] = Counter()
+        self._histograms = HistogramBook()
 
     def count(self, name: str) -> None:
-        """Add one to a counter."""
+        """Increment a counter."""
         with self._lock:
-            self._counts[name] += 1
+            self._counters[name] += 1
 
     def record(self, name: HistogramName, seconds: float) -> None:
-        """Count one value of a histogram."""
+        """Record a value in a histogram."""
         with self._lock:
-            self._book.record(name, seconds)
+            self._histograms.record(name, seconds)
 
     def lines(self) -> list[str]:
-        """Return counters and histograms as lines of text."""
+        """Return counters and quantiles as lines of the metrics page."""
         with self._lock:
-            counts = dict(self._counts)
-            summaries = self._book.summarise()
+            counts = dict(self._counters)
+            summaries = self._histograms.summarise()
         counters = [f"mintsaddle_{name} {value}" for name, value in counts.items()]
         quantiles = [
             f"mintsaddle_{one.name.measure.value}_ms"
--- a/mintsaddle/direct/_peers.py
+++ b/mintsaddle/direct/_peers.py
@@ -92,7 +92,7 @@
         """Answer a peer that has a request for a limited endpoint."""
         wish = await stream.recv_message()
         if wish is not None:
-            await stream.send_message(self._permits.answer_wish(wish))
+            await stream.send_message(self._permits.answer_permit_request(wish))
 
     async def NoteRates(  # noqa: N802 - the name that gRPC gives it
         self, stream: "Stream[pb.RateNews, pb.RateNoted]"
@@ -100,7 +100,7 @@
         """Take over which endpoints limit their requests."""
         news = await stream.recv_message()
         if news is not None:
-            self._permits.note(news.rates)
+            self._permits.record_rates(news.rates)
             await stream.send_message(pb.RateNoted())
 
     def watch_copy(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -284,12 +284,12 @@
     permits = exchange.permits
 
     def take_permit(endpoint: str) -> bool:
-        return loop_thread.submit(permits.take(endpoint)).result()
+        return loop_thread.submit(permits.take_permit(endpoint)).result()
 
     def tell_of(endpoint: str) -> None:
         loop_thread.post(permits.mark_changed, endpoint)
 
-    gateway.limits.use(take_permit, tell_of)
+    gateway.limits.set_callbacks(take_permit, tell_of)
 
 
 async def _start(gateway: Gateway, membership: Membership) -> PeerExchange:
@@ -302,6 +302,6 @@
     rounds = asyncio.ensure_future(exchange.run())
     watch = asyncio.ensure_future(exchange.watch_holders())
     following = asyncio.ensure_future(exchange.follow_upstreams())
-    telling = asyncio.ensure_future(exchange.permits.tell_changes())
+    telling = asyncio.ensure_future(exchange.permits.publish_changes())
     gateway.keep(server, rounds, watch, following, telling)
     return exchange
--- a/mintsaddle/direct/_pool.py
+++ b/mintsaddle/direct/_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, kept for requests that may be repeated."""
+"""Pool of idle connections, for requests that may be repeated."""
 
 import threading
 from collections.abc import Callable, Collection
@@ -9,78 +9,82 @@
 from mintsaddle.values import Instant
 
 
-class _Idle(NamedTuple):
+class _IdleConnection(NamedTuple):
     exchange: Exchange
     until: Instant
-    """Until when it may be used again."""
+    """Until when it may be reused."""
 
 
 class ConnectionPool:
-    """The idle connections of one entry, by run of an endpoint.
+    """The idle connections of one entry, by incarnation of an endpoint.
 
-    Failure: an endpoint sends bytes that belong to no request, or an answer
-    that comes late; the next request on that connection would get them. So a
-    connection on which anything waits to be read is not used, and an answer
-    counts only if it names its request. What may run once never gets a kept
-    connection: a reset can't tell whether its endpoint has run it.
+    An endpoint may send stray bytes or a late answer, which the next request
+    on that connection would receive as its own. So a connection with unread
+    data isn't reused, and an answer counts only if it names its request. A
+    request that may run only once never gets a reused connection: a reset
+    doesn't tell whether the endpoint has run it.
     """
 
     def __init__(self, now: Callable[[], Instant]) -> None:
         self._now = now
         self._lock = threading.Lock()
-        self._idle: dict[str, list[_Idle]] = {}
+        self._idle: dict[str, list[_IdleConnection]] = {}
 
     def has_idle(self, endpoint: str) -> bool:
-        """Return whether a connection to an endpoint is kept."""
+        """Return whether an idle connection to an endpoint is pooled."""
         return bool(self._idle.get(endpoint))
 
-    def take(self, endpoint: Incarnation) -> Exchange | None:
-        """Return a connection to use, the one used last, or None."""
+    def acquire(self, endpoint: Incarnation) -> Exchange | None:
+        """Return the connection used most recently; None if there is none."""
         while True:
             with self._lock:
-                kept = self._idle.get(endpoint.name)
-                if not kept:
+                connections = self._idle.get(endpoint.name)
+                if not connections:
                     return None
-                idle = kept.pop()
-            if self._now() < idle.until and idle.exchange.is_quiet():
-                idle.exchange.mark_kept()
+                idle = connections.pop()
+            if self._now() < idle.until and idle.exchange.is_reusable():
+                idle.exchange.mark_reused()
                 return idle.exchange
             idle.exchange.close()
 
-    def give(self, endpoint: Incarnation, exchange: Exchange, seconds: float) -> None:
-        """Keep a connection whose last answer is complete.
+    def release(
+        self, endpoint: Incarnation, exchange: Exchange, seconds: float
+    ) -> None:
+        """Pool a connection whose last answer is complete.
 
         Args:
-            endpoint: The run of the endpoint at its other end.
+            endpoint: The endpoint that it is connected to.
             exchange: The connection.
-            seconds: For how long it may be used again.
+            seconds: For how long it may be reused.
         """
-        if seconds <= 0 or not exchange.is_quiet():
+        if seconds <= 0 or not exchange.is_reusable():
             exchange.close()
             return
         with self._lock:
-            kept = self._idle.setdefault(endpoint.name, [])
-            kept.append(_Idle(exchange, self._now() + seconds))
-            surplus = kept[:-MOST_IDLE]
-            del kept[:-MOST_IDLE]
+            connections = self._idle.setdefault(endpoint.name, [])
+            connections.append(_IdleConnection(exchange, self._now() + seconds))
+            surplus = connections[:-MOST_IDLE]
+            del connections[:-MOST_IDLE]
         for idle in surplus:
             idle.exchange.close()
 
     def sweep(self, endpoints: Collection[str]) -> None:
-        """Close what is too old, and what leads to endpoints that are gone.
+        """Close connections that are too old or lead to removed endpoints.
 
         Args:
             endpoints: Names of the endpoints that are known.
         """
         now = self._now()
-        closing: list[_Idle] = []
+        closing: list[_IdleConnection] = []
         with self._lock:
-            for name, kept in list(self._idle.items()):
+            for name, connections in list(self._idle.items()):
                 is_known = name in endpoints
-                left = [idle for idle in kept if is_known and now < idle.until]
-                closing += [idle for idle in kept if idle not in left]
-                if left:
-                    self._idle[name] = left
+                remaining = [
+                    idle for idle in connections if is_known and now < idle.until
+                ]
+                closing += [idle for idle in connections if idle not in remaining]
+                if remaining:
+                    self._idle[name] = remaining
                 else:
                     del self._idle[name]
         for idle in closing:
--- a/mintsaddle/direct/_probe.py
+++ b/mintsaddle/direct/_probe.py
@@ -1,4 +1,4 @@
-"""Asking rank agents for the loads of a few engines."""
+"""Reads the loads of a few engines from their rank agents."""
 
 import threading
 from collections.abc import Sequence
@@ -13,41 +13,41 @@
 from mintsaddle.values import Clock
 
 REPLY_SECONDS = 0.03
-"""Seconds for the replies; a few milliseconds are usual. A request waits no
-longer for what would only place it better."""
+"""Timeout in seconds for replies, which usually take a few milliseconds. A
+request doesn't wait longer, as loads only improve its placement."""
 
 
 class LoadProbe:
-    """Reads loads of engines; used by all callers' threads."""
+    """Reads loads of engines. Thread-safe."""
 
     def __init__(self, settings: DirectSettings, now: Clock) -> None:
         self._host = settings.host
         self._port = settings.agent_port
-        self._silent = SilentAgents(now)
-        self._idle: list[AgentLink] = []
+        self._silent_agents = SilentAgents(now)
+        self._idle_links: list[AgentLink] = []
         self._lock = threading.Lock()
 
-    def ask(self, endpoints: Sequence[Incarnation]) -> dict[str, EngineLoad]:
+    def read_loads(self, endpoints: Sequence[Incarnation]) -> dict[str, EngineLoad]:
         """Return the loads of those engines whose agents reply in time.
 
         Args:
-            endpoints: Engines; those that belong to no rank group have no
-                agent and are left out.
+            endpoints: Engines. Those outside rank groups have no agent and are
+                skipped.
         """
-        asked = {
+        agents = {
             agent_address(one.address, self._port): one
             for one in endpoints
-            if self._port and one.place and self._silent.is_asked(one.address)
+            if self._port and one.place and self._silent_agents.is_asked(one.address)
         }
-        if not asked:
+        if not agents:
             return {}
-        link = self._take_link()
-        replies = link.ask({agent: [report_call()] for agent in asked})
+        link = self._acquire_link()
+        replies = link.ask({agent: [report_call()] for agent in agents})
         with self._lock:
-            self._idle.append(link)
+            self._idle_links.append(link)
         loads = {}
-        for agent, one in asked.items():
-            self._silent.record_reply(one.address, came=agent in replies)
+        for agent, one in agents.items():
+            self._silent_agents.record_reply(one.address, came=agent in replies)
             if agent not in replies or one.place is None:
                 continue
             match decode_rank_report(replies[agent][0], one.place.rank):
@@ -61,9 +61,9 @@
                     )
         return loads
 
-    def _take_link(self) -> AgentLink:
-        """Return a link that no other thread uses meanwhile."""
+    def _acquire_link(self) -> AgentLink:
+        """Return a link that no other thread is using."""
         with self._lock:
-            if self._idle:
-                return self._idle.pop()
+            if self._idle_links:
+                return self._idle_links.pop()
         return AgentLink(self._host, REPLY_SECONDS)
--- a/mintsaddle/direct/_run.py
+++ b/mintsaddle/direct/_run.py
@@ -14,7 +14,7 @@
 from mintsaddle.direct._maps import MapCoordinator
 from mintsaddle.direct._paths import start_checking_paths
 from mintsaddle.direct._peers import start_peers
-from mintsaddle.direct._server import CallerServer, most_callers, serve_pages
+from mintsaddle.direct._server import CallerServer, max_callers, serve_pages
 from mintsaddle.direct._watchdog import Watchdog
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.platform import READY_PATH
@@ -51,7 +51,7 @@
     signals = _catch_signals()
     gateway = Gateway(settings)
     watchdog = Watchdog(gateway.now)
-    callers = most_callers(settings)
+    callers = max_callers(settings)
     app = DirectApp(gateway, watchdog, callers)
 
     def sends_callers_away() -> bool:
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -1,4 +1,4 @@
-"""Carrying out what the call decisions ask for, in the caller's thread."""
+"""Runs the attempts of a call in the caller's thread."""
 
 import http.client
 from collections.abc import Callable, Generator, Iterator
@@ -25,12 +25,12 @@
     spend_retry,
 )
 from mintsaddle.direct._answers import (
+    BufferedAnswer,
     CallAnswer,
-    CallerMessage,
+    CallerRequest,
     StreamAnswer,
-    WholeAnswer,
 )
-from mintsaddle.direct._choice import CallerLeftError, choose_endpoint
+from mintsaddle.direct._choice import CallerDisconnectedError, choose_endpoint
 from mintsaddle.direct._exchange import (
     Exchange,
     StreamCutError,
@@ -38,7 +38,7 @@
     read_events,
 )
 from mintsaddle.direct._gateway import Gateway
-from mintsaddle.direct._watchdog import Watchdog, Watched
+from mintsaddle.direct._watchdog import Watchdog, WatchedExchange
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.platform import (
     AnswerHead,
@@ -48,12 +48,14 @@
 )
 from mintsaddle.values import Instant, Reason
 
-OWN_ANSWER_SECONDS = 0.15
-"""Seconds past the deadline in which the endpoint's own answer to it is still
-waited for; it works until that very instant, and one way takes 1 ms."""
+DEADLINE_GRACE_SECONDS = 0.15
+"""Seconds past the deadline for which the endpoint's own timeout answer is
+awaited: the endpoint works until the deadline, and its answer takes 1 ms to
+arrive."""
 
-_RUN_UNKNOWN = 0
-"""Boot under which loads are noted: an incarnation's name says the run."""
+_UNUSED_BOOT = 0
+"""Boot number under which loads are recorded. It isn't needed to tell runs
+apart, since each incarnation has a name of its own."""
 
 _SERVER_ERROR = 500
 _log = make_logger("calls")
@@ -62,99 +64,99 @@
 class _Attempt(NamedTuple):
     endpoint: Incarnation
     exchange: Exchange
-    watched: Watched
+    watched: WatchedExchange
     response: http.client.HTTPResponse
     head: AnswerHead
 
 
 class CallRunner:
-    """Runs one call; used by one thread."""
+    """Runs one call. Not thread-safe."""
 
     def __init__(
         self,
         gateway: Gateway,
         watchdog: Watchdog,
         call: DirectCall,
-        message: CallerMessage,
-        is_gone: Callable[[], bool],
+        request: CallerRequest,
+        is_disconnected: Callable[[], bool],
     ) -> None:
         self._gateway = gateway
         self._watchdog = watchdog
         self._call = call
-        self._message = message
-        self._is_gone = is_gone
-        self._failed_answer: WholeAnswer | None = None
+        self._request = request
+        self._is_disconnected = is_disconnected
+        self._failed_answer: BufferedAnswer | None = None
 
     @property
     def call(self) -> DirectCall:
-        """What has become of the call so far."""
+        """The call, including the state of its attempts."""
         return self._call
 
     def run(self) -> CallAnswer:
-        """Return the answer, or the beginning of a stream.
+        """Return the answer, or a stream that has begun.
 
         Raises:
-            CallerLeftError: The caller has hung up meanwhile.
+            CallerDisconnectedError: The caller has disconnected.
         """
         while True:
-            found = self._attempt()
-            if isinstance(found, GiveUp):
-                # An endpoint's own failure says more than one of ours.
-                return self._failed_answer or found
-            if isinstance(found, _Attempt):
-                if found.head.is_stream:
+            result = self._try_endpoint()
+            if isinstance(result, GiveUp):
+                # An endpoint's own error tells the caller more than ours.
+                return self._failed_answer or result
+            if isinstance(result, _Attempt):
+                if result.head.is_stream:
                     self._call = self._call._replace(response_started=True)
-                    headers = make_answer_headers(found.response)
-                    events = self._relay(found)
-                    return StreamAnswer(found.head.status, headers, events)
-                answer = self._take_whole(found)
+                    headers = make_answer_headers(result.response)
+                    events = self._relay_stream(result)
+                    return StreamAnswer(result.head.status, headers, events)
+                answer = self._read_answer(result)
                 if answer is not None:
                     return answer
 
-    def _attempt(self) -> _Attempt | GiveUp | None:
+    def _try_endpoint(self) -> _Attempt | GiveUp | None:
         """Try one endpoint.
 
         Returns:
-            The attempt whose answer has begun, the end of the call, or None
-            when another endpoint may be tried.
+            The attempt if its answer has begun, a GiveUp if the call is over,
+            or None if another endpoint may be tried.
         """
-        endpoint = choose_endpoint(self._gateway, self._call, self._is_gone)
+        endpoint = choose_endpoint(self._gateway, self._call, self._is_disconnected)
         if isinstance(endpoint, Reason):
             return give_up(self._call, endpoint)
-        exchange = self._open_exchange(endpoint)
+        exchange = self._acquire_exchange(endpoint)
         until = attempt_until(self._call, self._gateway.now())
-        end_at = until + OWN_ANSWER_SECONDS
-        watched = Watched(exchange, self._is_gone, end_at)
+        expires_at = until + DEADLINE_GRACE_SECONDS
+        watched = WatchedExchange(exchange, self._is_disconnected, expires_at)
         self._watchdog.add(watched)
-        ending, attempt = self._open(endpoint, exchange, watched)
+        ending, attempt = self._send_request(endpoint, exchange, watched)
         if attempt is not None:
             return attempt
-        self._close(endpoint, exchange, watched)
-        return self._go_on(endpoint, ending)
+        self._discard(endpoint, exchange, watched)
+        return self._record_failure(endpoint, ending)
 
-    def _open_exchange(self, endpoint: Incarnation) -> Exchange:
-        """Return a kept connection if a repeat is allowed, or a fresh one."""
-        kept = None
+    def _acquire_exchange(self, endpoint: Incarnation) -> Exchange:
+        """Return a pooled connection if repeats are allowed, or a new one."""
+        pooled = None
         if self._call.route.repeat is not Repeat.ONCE:
-            kept = self._gateway.pool.take(endpoint)
-        self._gateway.metrics.count("connection_kept" if kept else "connection_fresh")
-        return kept or Exchange(endpoint.address)
+            pooled = self._gateway.pool.acquire(endpoint)
+        self._gateway.metrics.count("connection_kept" if pooled else "connection_fresh")
+        return pooled or Exchange(endpoint.address)
 
-    def _open(
-        self, endpoint: Incarnation, exchange: Exchange, watched: Watched
+    def _send_request(
+        self, endpoint: Incarnation, exchange: Exchange, watched: WatchedExchange
     ) -> tuple[Ending, _Attempt | None]:
-        is_fresh = not exchange.is_kept
+        is_fresh = not exchange.is_reused
         if not exchange.connect():
             self._gateway.reach.record(endpoint.data_centre, came=False)
             return Ending.NOT_SENT, None
         if is_fresh:
             self._gateway.reach.record(endpoint.data_centre, came=True)
-        call, message = self._call, self._message
+        call, request = self._call, self._request
         left = call.deadline - self._gateway.now()
         if left <= 0:
             return Ending.NOT_SENT, None
         headers = make_endpoint_headers(
-            message.environ,
+            request.environ,
             endpoint.name,
             call.workspace,
             left,
@@ -163,15 +165,15 @@
         )
         try:
             response = exchange.send(
-                message.method,
-                message.target,
+                request.method,
+                request.target,
                 headers,
-                message.body,
-                left + 2 * OWN_ANSWER_SECONDS,
+                request.body,
+                left + 2 * DEADLINE_GRACE_SECONDS,
             )
         except (OSError, http.client.HTTPException, ValueError) as error:
-            self._log_broken(endpoint, error)
-            is_silent = self._gateway.now() >= watched.end_at
+            self._log_broken_answer(endpoint, error)
+            is_silent = self._gateway.now() >= watched.expires_at
             return Ending.SILENT if is_silent else Ending.BROKEN, None
         head = read_answer_head(response, call.request_id, endpoint.slots)
         self._record_head(endpoint, head)
@@ -192,80 +194,81 @@
         return Ending.BROKEN, _Attempt(endpoint, exchange, watched, response, head)
 
     def _urgency(self) -> int | None:
-        """Return the call's urgency; plain services don't know any."""
+        """Return the call's urgency; None for services that aren't engines."""
         table = self._gateway.directory.table
         service = table.services.get(self._call.service) if table else None
         if service is None or not service.is_engine:
             return None
         return choose_urgency(self._call, self._gateway.now())
 
-    def _take_whole(self, attempt: _Attempt) -> WholeAnswer | GiveUp | None:
-        """Read a whole answer; None when another endpoint may be tried."""
+    def _read_answer(self, attempt: _Attempt) -> BufferedAnswer | GiveUp | None:
+        """Read a complete answer; None if another endpoint may be tried."""
         ending = Ending.BROKEN
-        is_whole = False
+        is_complete = False
         try:
             body = read_body(attempt.response)
         except (OSError, http.client.HTTPException) as error:
-            self._log_broken(attempt.endpoint, error)
+            self._log_broken_answer(attempt.endpoint, error)
         else:
-            is_whole = True
+            is_complete = True
             headers = make_answer_headers(attempt.response)
-            answer = WholeAnswer(attempt.head.status, headers, body)
+            answer = BufferedAnswer(attempt.head.status, headers, body)
             repeat = self._call.route.repeat
             if attempt.head.status < _SERVER_ERROR or repeat is Repeat.ONCE:
                 return answer
             self._failed_answer = answer
             ending = Ending.FAILED
         finally:
-            self._end(attempt, is_whole=is_whole)
-        found = self._go_on(attempt.endpoint, ending)
-        return found if found is None else self._failed_answer or found
+            self._finish(attempt, is_complete=is_complete)
+        result = self._record_failure(attempt.endpoint, ending)
+        return result if result is None else self._failed_answer or result
 
-    def _relay(self, attempt: _Attempt | None) -> Iterator[bytes]:
-        """Give each event on; go on at another endpoint after a cut.
+    def _relay_stream(self, attempt: _Attempt | None) -> Iterator[bytes]:
+        """Relay events, and resume at another endpoint if the stream breaks.
 
         Raises:
-            StreamCutError: The stream can't be brought to its end.
+            StreamCutError: The stream can't be completed.
         """
         while True:
             if attempt is not None:
-                if (yield from self._relay_one(attempt)):
+                if (yield from self._relay_attempt(attempt)):
                     return
-                ending = self._go_on(attempt.endpoint, Ending.BROKEN)
+                ending = self._record_failure(attempt.endpoint, Ending.BROKEN)
                 if ending is not None:
                     raise StreamCutError
-            found = self._attempt()
-            if isinstance(found, GiveUp):
+            result = self._try_endpoint()
+            if isinstance(result, GiveUp):
                 raise StreamCutError
-            if found is not None and not found.head.is_stream:
-                self._close(found.endpoint, found.exchange, found.watched)
-                if self._go_on(found.endpoint, Ending.FAILED) is not None:
+            if result is not None and not result.head.is_stream:
+                self._discard(result.endpoint, result.exchange, result.watched)
+                if self._record_failure(result.endpoint, Ending.FAILED) is not None:
                     raise StreamCutError
-                found = None
-            attempt = found
+                result = None
+            attempt = result
 
-    def _relay_one(self, attempt: _Attempt) -> Generator[bytes, None, bool]:
-        """Give on the events of one endpoint; return if they are whole."""
-        is_whole = False
+    def _relay_attempt(self, attempt: _Attempt) -> Generator[bytes, None, bool]:
+        """Relay events of one endpoint; return whether all have come."""
+        is_complete = False
         try:
             for event in read_events(attempt.response):
                 number = event.read_id()
                 if number is not None:
                     self._call = self._call._replace(last_event=number)
                 yield event.data
-            is_whole = True
+            is_complete = True
         except (OSError, http.client.HTTPException, StreamCutError) as error:
-            self._log_broken(attempt.endpoint, error)
+            self._log_broken_answer(attempt.endpoint, error)
             return False
         finally:
-            # Reached by a hang-up too: the caller's side closes the iterator.
-            self._end(attempt, is_whole=is_whole)
+            # Also runs when the caller disconnects: the server closes the
+            # iterator.
+            self._finish(attempt, is_complete=is_complete)
         return True
 
-    def _go_on(self, endpoint: Incarnation, ending: Ending) -> GiveUp | None:
-        """Note a failed attempt; return the end, or None to try again."""
-        if self._is_gone():
-            raise CallerLeftError
+    def _record_failure(self, endpoint: Incarnation, ending: Ending) -> GiveUp | None:
+        """Record a failed attempt; return a GiveUp, or None to try again."""
+        if self._is_disconnected():
+            raise CallerDisconnectedError
         gateway = self._gateway
         self._call = record_attempt(self._call, endpoint.name, ending)
         now: Instant = gateway.now()
@@ -300,32 +303,32 @@
             record_load(
                 gateway.routing,
                 endpoint.name,
-                _RUN_UNKNOWN,
+                _UNUSED_BOOT,
                 head.load,
                 gateway.now(),
             )
 
-    def _end(self, attempt: _Attempt, *, is_whole: bool) -> None:
-        """Keep the connection of a whole answer, or close it."""
+    def _finish(self, attempt: _Attempt, *, is_complete: bool) -> None:
+        """Pool the connection if the answer is complete, else close it."""
         endpoint, exchange = attempt.endpoint, attempt.exchange
         self._watchdog.remove(attempt.watched)
-        if is_whole:
+        if is_complete:
             seconds = keep_seconds(attempt.head.idle_seconds)
-            self._gateway.pool.give(endpoint, exchange, seconds)
+            self._gateway.pool.release(endpoint, exchange, seconds)
         else:
             exchange.close()
         with self._gateway.lock:
             record_finished(self._gateway.routing, endpoint.name)
 
-    def _close(
-        self, endpoint: Incarnation, exchange: Exchange, watched: Watched
+    def _discard(
+        self, endpoint: Incarnation, exchange: Exchange, watched: WatchedExchange
     ) -> None:
         self._watchdog.remove(watched)
         exchange.close()
         with self._gateway.lock:
             record_finished(self._gateway.routing, endpoint.name)
 
-    def _log_broken(self, endpoint: Incarnation, error: Exception) -> None:
+    def _log_broken_answer(self, endpoint: Incarnation, error: Exception) -> None:
         _log.info(
             "Answer broken %s.",
             fields(
--- a/mintsaddle/direct/_server.py
+++ b/mintsaddle/direct/_server.py
@@ -1,4 +1,4 @@
-"""The HTTP servers of a direct entry, by waitress."""
+"""The HTTP servers of a direct entry, based on waitress."""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -9,33 +9,33 @@
 from waitress.task import WSGITask
 
 from mintsaddle.decisions.direct import CallerLimits
-from mintsaddle.direct._threads import FIRST_THREADS, GrowingDispatcher
+from mintsaddle.direct._threads import INITIAL_THREADS, GrowingDispatcher
 from mintsaddle.settings import DirectSettings
 
 CALLER_MEGABYTES = 0.5
-"""Memory for a caller: its thread's stack, its body and its answer."""
+"""Memory per caller, in MB: thread stack, request body and answer."""
 
 CALLER_MEMORY_SHARE = 0.25
 """Share of the VM's memory for callers."""
 
 CALLER_DESCRIPTORS = 3
-"""Descriptors for a caller: its connection, its endpoint's, and one that is
-being closed."""
+"""File descriptors per caller: its connection, the one to its endpoint, and
+one that is being closed."""
 
 RESERVED_DESCRIPTORS = 300
-"""Descriptors for files, peers, agents and the platform."""
+"""File descriptors for files, peers, agents and the platform."""
 
-_SPARE_THREADS = 4
-"""Threads beyond that, which refuse at once what is too much."""
+_REFUSAL_THREADS = 4
+"""Threads in addition to one per caller; they refuse excess requests."""
 
 _BACKLOG = 1024
-_MOST_CONNECTIONS = 1500
+_MAX_CONNECTIONS = 1500
 _CLEANUP_SECONDS = 1
 _READ_BYTES = 65_536
 
 
 class _ClosingTask(WSGITask):  # type: ignore[misc]
-    """Says that the connection closes once the process is leaving."""
+    """Sends `Connection: close` while the process is shutting down."""
 
     def build_response_header(self) -> bytes:
         if self.channel.server.is_leaving():
@@ -48,69 +48,69 @@
     task_class = _ClosingTask
 
 
-def most_callers(settings: DirectSettings) -> int:
-    """Return how many callers the VM bears at one time."""
+def max_callers(settings: DirectSettings) -> int:
+    """Return how many concurrent callers the VM has resources for."""
     by_memory = settings.memory_megabytes * CALLER_MEMORY_SHARE / CALLER_MEGABYTES
     descriptors = settings.descriptors - RESERVED_DESCRIPTORS
     return max(1, int(min(by_memory, descriptors / CALLER_DESCRIPTORS)))
 
 
 class CallerServer:
-    """Takes callers' connections."""
+    """Accepts callers' connections and serves their requests."""
 
     def __init__(
         self,
         app: Any,
         address: str,
         is_leaving: Callable[[], bool],
-        most_callers: int,
+        max_callers: int,
     ) -> None:
-        """Make the server.
+        """Create the server.
 
         Args:
             app: The WSGI application.
             address: IP and port to listen on.
-            is_leaving: Whether callers should go to another entry with their
-                next request.
-            most_callers: How many requests are served at one time.
+            is_leaving: Returns whether callers should send their next request
+                to another entry.
+            max_callers: How many requests are served concurrently.
         """
-        dispatcher = GrowingDispatcher(most_callers + _SPARE_THREADS)
-        dispatcher.set_thread_count(FIRST_THREADS)
+        dispatcher = GrowingDispatcher(max_callers + _REFUSAL_THREADS)
+        dispatcher.set_thread_count(INITIAL_THREADS)
         self._server: TcpWSGIServer = create_server(
             app,
             listen=address,
             _dispatcher=dispatcher,
             backlog=_BACKLOG,
-            connection_limit=_MOST_CONNECTIONS,
+            connection_limit=_MAX_CONNECTIONS,
             cleanup_interval=_CLEANUP_SECONDS,
             recv_bytes=_READ_BYTES,
             channel_request_lookahead=1,
             asyncore_use_poll=True,
             ident=None,
             clear_untrusted_proxy_headers=False,
-            # Cut streams and callers that leave are logged by the app.
+            # The app logs truncated streams and callers that disconnect.
             log_socket_errors=False,
         )
         self._server.channel_class = _CallerChannel
         self._server.is_leaving = is_leaving
 
     def start(self) -> None:
-        """Serve in a thread of its own."""
+        """Start serving in a separate thread."""
         threading.Thread(target=self._server.run, name="callers", daemon=True).start()
 
     def set_limits(self, limits: CallerLimits) -> None:
-        """Hold callers to new limits from the next request on."""
+        """Apply new limits from the next request on."""
         adjustments = self._server.adj
         adjustments.max_request_header_size = limits.header_bytes
         adjustments.max_request_body_size = limits.body_bytes
         adjustments.channel_timeout = limits.idle_seconds
 
     def stop_accepting(self) -> None:
-        """Take no more connections."""
+        """Accept no further connections."""
         self._server.accepting = False
 
     def close_idle(self) -> None:
-        """Close connections that wait for nothing; callers open others."""
+        """Close connections without a request; callers open new ones."""
         for channel in tuple(self._server.active_channels.values()):
             if not channel.requests and channel.request is None:
                 channel.will_close = True
@@ -120,11 +120,11 @@
 def serve_pages(
     addresses: Iterable[str], pages: dict[str, Callable[[], tuple[str, str]]]
 ) -> None:
-    """Serve small pages, such as readiness, in a thread of their own.
+    """Serve small pages, such as readiness, in a separate thread.
 
     Args:
         addresses: IP and port of each listener.
-        pages: For each path a function that gives status line and text.
+        pages: For each path, a function that returns status line and text.
     """
 
     def app(environ: dict[str, Any], start: Any) -> list[bytes]:
--- a/mintsaddle/direct/_threads.py
+++ b/mintsaddle/direct/_threads.py
@@ -1,26 +1,26 @@
-"""Threads for callers, started as requests come."""
+"""A thread pool for callers that grows on demand."""
 
 from typing import Any
 
 from waitress.task import ThreadedTaskDispatcher
 
-FIRST_THREADS = 4
-"""Threads that are there before the first request."""
+INITIAL_THREADS = 4
+"""Threads that are started before the first request."""
 
 
 class GrowingDispatcher(ThreadedTaskDispatcher):  # type: ignore[misc]
-    """Starts a thread when a request finds none idle, up to a bound.
+    """Starts a thread when a request finds none idle, up to a limit.
 
-    Threads stay once they were needed: the next peak needs them again.
+    Threads are kept once started, because the next load peak needs them.
     """
 
-    def __init__(self, most_threads: int) -> None:
+    def __init__(self, max_threads: int) -> None:
         super().__init__()
-        self._most_threads = most_threads
+        self._max_threads = max_threads
 
     def set_thread_count(self, count: int) -> None:
-        """Set the number of threads, within the bound."""
-        super().set_thread_count(min(count, self._most_threads))
+        """Set the number of threads, up to the limit."""
+        super().set_thread_count(min(count, self._max_threads))
 
     def add_task(self, task: Any) -> None:
         """Queue a request for the next idle thread."""
--- a/mintsaddle/direct/_watchdog.py
+++ b/mintsaddle/direct/_watchdog.py
@@ -1,7 +1,7 @@
-"""Ends exchanges whose caller has left or whose time is over.
+"""Aborts exchanges whose caller has disconnected or whose time has expired.
 
-The thread that serves a caller waits in a read of the endpoint's answer and
-can't look at the caller meanwhile; one more thread looks for all of them.
+The thread that serves a caller blocks while it reads the endpoint's answer and
+can't check the caller's connection, so one more thread checks all of them.
 """
 
 import threading
@@ -12,49 +12,49 @@
 from mintsaddle.values import Instant
 
 POLL_SECONDS = 0.1
-"""Seconds between two polls: a fifth of the half second within which an
+"""Seconds between two checks: a fifth of the half second within which an
 endpoint has to be freed."""
 
 
-class Watched(NamedTuple):
-    """One exchange and when it has to end."""
+class WatchedExchange(NamedTuple):
+    """An exchange and the conditions under which it is aborted."""
 
     exchange: Exchange
-    is_gone: Callable[[], bool]
-    """Whether the caller has hung up."""
+    is_disconnected: Callable[[], bool]
+    """Returns whether the caller has disconnected."""
 
-    end_at: Instant
+    expires_at: Instant
 
 
 class Watchdog:
-    """Looks at all exchanges that are under way."""
+    """Monitors all exchanges in progress."""
 
     def __init__(self, now: Callable[[], Instant]) -> None:
         self._now = now
-        self._watched: set[Watched] = set()
+        self._watched: set[WatchedExchange] = set()
         self._changed = threading.Condition()
 
     def start(self) -> None:
         """Start the thread."""
         threading.Thread(target=self._run, name="watchdog", daemon=True).start()
 
-    def add(self, watched: Watched) -> None:
-        """Look at one more exchange."""
+    def add(self, watched: WatchedExchange) -> None:
+        """Start to monitor an exchange."""
         with self._changed:
             if not self._watched:
                 self._changed.notify()
             self._watched.add(watched)
 
-    def remove(self, watched: Watched) -> None:
-        """Forget an exchange that is over."""
+    def remove(self, watched: WatchedExchange) -> None:
+        """Stop monitoring an exchange."""
         with self._changed:
             self._watched.discard(watched)
 
-    def _abort(self, one: Watched) -> None:
-        """Break an exchange that is still looked at.
+    def _abort(self, one: WatchedExchange) -> None:
+        """Abort an exchange that is still monitored.
 
-        Guards against breaking the next request on the same connection: what
-        was to end here may have ended since, and its connection be in use.
+        An exchange that ended in the meantime must not be aborted: its
+        connection may already serve another request.
         """
         with self._changed:
             if one in self._watched:
@@ -69,6 +69,6 @@
                 watched = tuple(self._watched)
             now = self._now()
             for one in watched:
-                if now >= one.end_at or one.is_gone():
+                if now >= one.expires_at or one.is_disconnected():
                     self._abort(one)
             pause.wait(POLL_SECONDS)
--- a/mintsaddle/direct/tests/clocks.py
+++ b/mintsaddle/direct/tests/clocks.py
@@ -1,8 +1,8 @@
-"""A clock that tests move."""
+"""A clock that tests set."""
 
 
 class Clock:
-    """Gives the instant that a test has set."""
+    """Returns the instant that a test has set."""
 
     def __init__(self) -> None:
         self.now = 100.0
--- a/mintsaddle/direct/tests/conftest.py
+++ b/mintsaddle/direct/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests of this package share."""
+"""Shared fixtures of the tests of this package."""
 
 import pytest
 
--- a/mintsaddle/direct/tests/test_pool.py
+++ b/mintsaddle/direct/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections: used again when sound, given up at the first doubt."""
+"""Reuse of idle connections, and the cases in which it is unsafe."""
 
 import contextlib
 import socket
@@ -17,18 +17,18 @@
 TIMEOUT = 5.0
 
 
-class Script(NamedTuple):
-    """What an endpoint does with one request."""
+class ScriptedAnswer(NamedTuple):
+    """How the endpoint handles one request."""
 
     answer: bytes = ANSWER
     closes: bool = False
 
 
 class Endpoint:
-    """Answers each request by the next script, or well."""
+    """Answers each request by the next script, or normally without one."""
 
     def __init__(self) -> None:
-        self.scripts: list[Script] = []
+        self.scripts: list[ScriptedAnswer] = []
         self.connections = 0
         self.requests = 0
         self._open: list[socket.socket] = []
@@ -40,7 +40,7 @@
         return f"127.0.0.1:{self._server.getsockname()[1]}"
 
     def send_late(self, data: bytes) -> None:
-        """Send bytes that answer no request, on the newest connection."""
+        """Send bytes that answer no request on the newest connection."""
         self._open[-1].sendall(data)
 
     def _accept(self) -> None:
@@ -57,7 +57,7 @@
         with contextlib.suppress(ConnectionError), connection:
             while connection.recv(65_536):
                 self.requests += 1
-                script = self.scripts.pop(0) if self.scripts else Script()
+                script = self.scripts.pop(0) if self.scripts else ScriptedAnswer()
                 connection.sendall(script.answer)
                 if script.closes:
                     return
@@ -75,156 +75,156 @@
     pool.sweep(())
 
 
-def make_run(endpoint: Endpoint, name: str = "i-1") -> Incarnation:
+def make_incarnation(endpoint: Endpoint, name: str = "i-1") -> Incarnation:
     return Incarnation(name, "desk", endpoint.address, "a", 6, False, 0.0, 1)
 
 
-def ask(exchange: Exchange) -> bytes:
+def send_request(exchange: Exchange) -> bytes:
     assert exchange.connect()
     response = exchange.send("GET", "/x", [], b"", TIMEOUT)
     return read_body(response)
 
 
 def wait_readable(exchange: Exchange) -> None:
-    """Wait until what the endpoint sent last has arrived."""
+    """Wait until the data that the endpoint sent last has arrived."""
     stop = threading.Event()
     for _ in range(500):
-        if not exchange.is_quiet():
+        if not exchange.is_reusable():
             return
         stop.wait(0.01)
-    raise AssertionError("nothing arrived")
+    raise AssertionError("no data arrived within 5 s")
 
 
 class TestReuse:
-    def test_a_sound_connection_is_used_again(
+    def test_an_idle_connection_is_reused(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
-        run = make_run(endpoint)
+        incarnation = make_incarnation(endpoint)
         exchange = Exchange(endpoint.address)
-        assert ask(exchange) == b"ok"
-        pool.give(run, exchange, 3.0)
+        assert send_request(exchange) == b"ok"
+        pool.release(incarnation, exchange, 3.0)
         assert pool.has_idle("i-1")
-        again = pool.take(run)
+        again = pool.acquire(incarnation)
         assert again is exchange
-        assert again.is_kept
-        assert ask(again) == b"ok"
+        assert again.is_reused
+        assert send_request(again) == b"ok"
         assert (endpoint.connections, endpoint.requests) == (1, 2)
 
     def test_another_run_at_the_address_gets_a_fresh_one(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
         exchange = Exchange(endpoint.address)
-        ask(exchange)
-        pool.give(make_run(endpoint, "i-1"), exchange, 3.0)
-        assert pool.take(make_run(endpoint, "i-2")) is None
+        send_request(exchange)
+        pool.release(make_incarnation(endpoint, "i-1"), exchange, 3.0)
+        assert pool.acquire(make_incarnation(endpoint, "i-2")) is None
 
     def test_what_is_too_old_isnt_used(
         self, endpoint: Endpoint, pool: ConnectionPool, clock: Clock
     ) -> None:
         exchange = Exchange(endpoint.address)
-        ask(exchange)
-        pool.give(make_run(endpoint), exchange, 3.0)
+        send_request(exchange)
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
         clock.now += 3.1
-        assert pool.take(make_run(endpoint)) is None
+        assert pool.acquire(make_incarnation(endpoint)) is None
 
     def test_what_leads_to_an_endpoint_that_is_gone_is_closed(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
         exchange = Exchange(endpoint.address)
-        ask(exchange)
-        pool.give(make_run(endpoint), exchange, 3.0)
+        send_request(exchange)
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
         pool.sweep(["i-2"])
         assert not pool.has_idle("i-1")
-        assert not exchange.is_quiet()
+        assert not exchange.is_reusable()
 
     def test_few_are_kept(self, endpoint: Endpoint, pool: ConnectionPool) -> None:
         exchanges = [Exchange(endpoint.address) for _ in range(MOST_IDLE + 2)]
         for exchange in exchanges:
-            ask(exchange)
-            pool.give(make_run(endpoint), exchange, 3.0)
-        assert not any(one.is_quiet() for one in exchanges[:2])
-        taken = [pool.take(make_run(endpoint)) for _ in range(MOST_IDLE + 1)]
+            send_request(exchange)
+            pool.release(make_incarnation(endpoint), exchange, 3.0)
+        assert not any(one.is_reusable() for one in exchanges[:2])
+        taken = [pool.acquire(make_incarnation(endpoint)) for _ in range(MOST_IDLE + 1)]
         assert taken == [*reversed(exchanges[2:]), None]
 
     @pytest.mark.parametrize(
-        ("told", "seconds"), [(None, 2.0), (0.0, 0.0), (5.0, 4.5), (0.3, 0.0)]
+        ("reported", "seconds"), [(None, 2.0), (0.0, 0.0), (5.0, 4.5), (0.3, 0.0)]
     )
     def test_it_is_given_up_before_the_endpoint_closes_it(
-        self, told: float | None, seconds: float
+        self, reported: float | None, seconds: float
     ) -> None:
-        assert keep_seconds(told) == seconds
+        assert keep_seconds(reported) == seconds
 
 
-class TestDoubt:
-    def test_bytes_after_an_answer_spoil_the_connection(
+class TestUnusableConnections:
+    def test_bytes_after_an_answer_make_the_connection_unusable(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
-        """Guards against an answer that belongs to another request."""
+        """A request must not receive the answer to an earlier one."""
         exchange = Exchange(endpoint.address)
-        ask(exchange)
+        send_request(exchange)
         endpoint.send_late(ANSWER)
         wait_readable(exchange)
-        pool.give(make_run(endpoint), exchange, 3.0)
-        assert pool.take(make_run(endpoint)) is None
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
+        assert pool.acquire(make_incarnation(endpoint)) is None
 
-    def test_bytes_that_come_while_it_is_idle_spoil_it_too(
+    def test_bytes_received_while_idle_make_it_unusable(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
         exchange = Exchange(endpoint.address)
-        ask(exchange)
-        pool.give(make_run(endpoint), exchange, 3.0)
+        send_request(exchange)
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
         endpoint.send_late(ANSWER)
         wait_readable(exchange)
-        assert pool.take(make_run(endpoint)) is None
+        assert pool.acquire(make_incarnation(endpoint)) is None
 
-    def test_an_answer_that_was_not_read_whole_spoils_it(
+    def test_an_answer_that_was_read_partially_makes_it_unusable(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
         exchange = Exchange(endpoint.address)
         assert exchange.connect()
         response = exchange.send("GET", "/x", [], b"", TIMEOUT)
         assert response.read(1) == b"o"
-        pool.give(make_run(endpoint), exchange, 3.0)
-        assert pool.take(make_run(endpoint)) is None
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
+        assert pool.acquire(make_incarnation(endpoint)) is None
 
     def test_a_connection_closed_by_its_endpoint_isnt_used(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
-        endpoint.scripts = [Script(closes=True)]
+        endpoint.scripts = [ScriptedAnswer(closes=True)]
         exchange = Exchange(endpoint.address)
-        ask(exchange)
+        send_request(exchange)
         wait_readable(exchange)
-        pool.give(make_run(endpoint), exchange, 3.0)
-        assert pool.take(make_run(endpoint)) is None
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
+        assert pool.acquire(make_incarnation(endpoint)) is None
 
     def test_a_reset_on_a_kept_connection_is_repeated_on_a_fresh_one(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
-        """Guards against a request lost to an idle time-out."""
+        """A request must not fail because of the endpoint's idle timeout."""
         exchange = Exchange(endpoint.address)
-        ask(exchange)
-        pool.give(make_run(endpoint), exchange, 3.0)
-        kept = pool.take(make_run(endpoint))
-        assert kept is not None
-        endpoint.scripts = [Script(answer=b"", closes=True)]
-        assert ask(kept) == b"ok"
-        assert not kept.is_kept
+        send_request(exchange)
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
+        reused = pool.acquire(make_incarnation(endpoint))
+        assert reused is not None
+        endpoint.scripts = [ScriptedAnswer(answer=b"", closes=True)]
+        assert send_request(reused) == b"ok"
+        assert not reused.is_reused
         assert endpoint.connections == 2
 
     def test_a_fresh_connection_that_breaks_is_not_repeated(
         self, endpoint: Endpoint
     ) -> None:
-        endpoint.scripts = [Script(answer=b"", closes=True)]
+        endpoint.scripts = [ScriptedAnswer(answer=b"", closes=True)]
         exchange = Exchange(endpoint.address)
         with pytest.raises(ConnectionError):
-            ask(exchange)
+            send_request(exchange)
         assert endpoint.requests == 1
 
     def test_an_aborted_connection_is_neither_kept_nor_repeated(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
         exchange = Exchange(endpoint.address)
-        ask(exchange)
+        send_request(exchange)
         exchange.abort()
-        pool.give(make_run(endpoint), exchange, 3.0)
-        assert pool.take(make_run(endpoint)) is None
+        pool.release(make_incarnation(endpoint), exchange, 3.0)
+        assert pool.acquire(make_incarnation(endpoint)) is None
--- a/mintsaddle/direct/tests/test_probe.py
+++ b/mintsaddle/direct/tests/test_probe.py
@@ -1,4 +1,4 @@
-"""Probing engines for their loads through rank agents."""
+"""Reading the loads of engines through rank agents."""
 
 import socket
 import threading
@@ -16,10 +16,10 @@
 from mintsaddle.rank_agent.tests.standins import Engine
 
 TIMEOUT = 3.0
-"""Seconds for answers that do come, however busy the machine is."""
+"""Seconds for expected answers, long enough for a busy machine."""
 
 
-def show(_: str) -> Any:
+def read_status(_: str) -> Any:
     return {
         "group": {"name": "g", "epoch": 3, "rank": 0, "state": "open"},
         "step": 9,
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def engine() -> Iterator[Engine]:
-    engine = Engine(show)
+    engine = Engine(read_status)
     yield engine
     engine.stop()
 
@@ -49,30 +49,30 @@
         threading.Thread(target=agent.serve, daemon=True).start()
         port = int(agent.address.rpartition(":")[2])
         probe = LoadProbe(SETTINGS._replace(agent_port=port), clock)
-        found = probe.ask([make_endpoint(engine.address)])
-        assert found == {"i-0": EngineLoad(5, epoch=3, step=9, has_first_map=True)}
+        loads = probe.read_loads([make_endpoint(engine.address)])
+        assert loads == {"i-0": EngineLoad(5, epoch=3, step=9, has_first_map=True)}
 
     def test_a_plain_service_is_not_probed(self, clock: Clock) -> None:
         probe = LoadProbe(SETTINGS._replace(agent_port=9), clock)
-        assert probe.ask([make_endpoint("127.0.0.1:1", is_rank=False)]) == {}
+        assert probe.read_loads([make_endpoint("127.0.0.1:1", is_rank=False)]) == {}
 
-    def test_a_silent_agent_rests(self, clock: Clock) -> None:
-        """Guards against requests that all wait for an agent that is gone."""
+    def test_a_silent_agent_is_not_asked_for_a_while(self, clock: Clock) -> None:
+        """Requests must not all wait for an agent that doesn't respond."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
             silent.bind(("127.0.0.1", 0))
             port = silent.getsockname()[1]
             probe = LoadProbe(SETTINGS._replace(agent_port=port), clock)
             endpoint = make_endpoint("127.0.0.1:1")
             for _ in range(_agents.MOST_MISSES + 3):
-                assert probe.ask([endpoint]) == {}
+                assert probe.read_loads([endpoint]) == {}
             silent.setblocking(False)
             assert self._count(silent) == _agents.MOST_MISSES
             clock.now += _agents.REST_SECONDS
-            probe.ask([endpoint])
+            probe.read_loads([endpoint])
             assert self._count(silent) == 1
 
     def _count(self, receiver: socket.socket) -> int:
-        """Return how many datagrams have come since the last time."""
+        """Return how many datagrams arrived since the last call."""
         count = 0
         while True:
             try:
