--- a/fakes/model/_endpoint.py
+++ b/fakes/model/_endpoint.py
@@ -36,16 +36,16 @@
     HeadArrived,
 )
 from mintsaddle.decisions.orders import (
-    Bequest,
     HomeQuestion,
     LedgerEntry,
+    LedgerSnapshot,
     OrderStatus,
     answer_question,
     ask_homes,
-    bequeath,
-    keep_bequest,
+    close_ledger,
     record_answer,
-    settle_alone,
+    settle_if_only_home,
+    store_snapshot,
 )
 from mintsaddle.values import Claim, Reason, Refusal
 
@@ -270,15 +270,15 @@
         then()
 
     def _bequeath(self) -> None:
-        for bequest in bequeath(self.state.orders):
+        for bequest in close_ledger(self.state.orders):
             home = self.state.orders.homes[bequest.service]
             for vm in home.wanted.to_ask - {self.name}:
                 self._give(vm, bequest)
 
-    def _give(self, vm: str, bequest: Bequest) -> None:
+    def _give(self, vm: str, bequest: LedgerSnapshot) -> None:
         peer = self.peers[vm]
         assert isinstance(peer, EndpointDaemon)
-        self.world.send(self, peer, lambda: keep_bequest(peer.state.orders, bequest))
+        self.world.send(self, peer, lambda: store_snapshot(peer.state.orders, bequest))
 
     def _probe(self) -> None:
         self.later(_PROBE, self._probe)
@@ -298,7 +298,7 @@
             return
         for service in tuple(self.state.orders.homes):
             bound = fleet.clock_bound
-            settle_alone(self.state.orders, service, bound, self.now())
+            settle_if_only_home(self.state.orders, service, bound, self.now())
             orders = self.state.orders
             asked = ask_homes(orders, service, self.now(), self.world.rng)
             for vm, question in asked:
--- a/fakes/model/tests/test_matrix.py
+++ b/fakes/model/tests/test_matrix.py
@@ -15,7 +15,7 @@
 from mintsaddle.decisions.calls import DeliverChunk
 from mintsaddle.decisions.calls import _commands as calls
 from mintsaddle.decisions.configuration import Adoption
-from mintsaddle.decisions.orders import KeyVerdict, KeyWord, LedgerEntry, OrderStatus
+from mintsaddle.decisions.orders import KeyAction, KeyDecision, LedgerEntry, OrderStatus
 from mintsaddle.decisions.orders import _commands as orders
 from mintsaddle.fleet import read_fleet
 
@@ -92,10 +92,10 @@
     return Adoption.ADOPTED
 
 
-def _run_any_key(state: Any, key: Any, service: str, *rest: Any) -> KeyVerdict:
+def _run_any_key(state: Any, key: Any, service: str, *rest: Any) -> KeyDecision:
     entry = LedgerEntry(key, service, OrderStatus.PENDING)
     state.put_entry(entry)
-    return KeyVerdict(KeyWord.RUN, entry=entry)
+    return KeyDecision(KeyAction.RUN, entry=entry)
 
 
 PERMISSIVE = [
--- a/mintsaddle/decisions/arrivals/_commands.py
+++ b/mintsaddle/decisions/arrivals/_commands.py
@@ -24,14 +24,14 @@
 from mintsaddle.decisions.arrivals._queries import is_refusing, rules_of
 from mintsaddle.decisions.arrivals._state import EndpointState
 from mintsaddle.decisions.orders import (
-    KeyVerdict,
-    KeyWord,
+    KeyAction,
+    KeyDecision,
     OrderStatus,
     adopt_homes,
     close_order,
     decide_key,
     purge_ledger,
-    settle_alone,
+    settle_if_only_home,
 )
 from mintsaddle.fleet import Fleet, Service, list_homes
 from mintsaddle.values import Boot, Claim, Instant, OrderKey, Reason, Refusal
@@ -128,7 +128,7 @@
             homes = list_homes(service)
             bound = fleet.clock_bound
             adopt_homes(state.orders, service.name, homes, service.bootstrap, bound)
-            settle_alone(state.orders, service.name, bound, now)
+            settle_if_only_home(state.orders, service.name, bound, now)
     if is_refusing(state) is None:
         return ()
     returned = drain_queue(state.admission)
@@ -167,15 +167,15 @@
         fleet.ledger_window,
         now,
     )
-    if verdict.word is KeyWord.RUN:
+    if verdict.action is KeyAction.RUN:
         return _admit(state, fleet, arrival, now)
     return _answer_known(state, arrival, key, verdict)
 
 
 def _answer_known(
-    state: EndpointState, arrival: Arrival, key: OrderKey, verdict: KeyVerdict
+    state: EndpointState, arrival: Arrival, key: OrderKey, verdict: KeyDecision
 ) -> Actions:
-    if verdict.word is KeyWord.JOIN:
+    if verdict.action is KeyAction.JOIN:
         state.join(key.text, arrival.request_id)
         return (AcceptArrival(arrival.request_id),)
     if verdict.entry is not None:
--- a/mintsaddle/decisions/arrivals/_queries.py
+++ b/mintsaddle/decisions/arrivals/_queries.py
@@ -3,7 +3,7 @@
 from mintsaddle.decisions.admission import AdmissionRules, describe_load
 from mintsaddle.decisions.arrivals._state import EndpointState
 from mintsaddle.decisions.configuration import is_out
-from mintsaddle.decisions.orders import is_awaited
+from mintsaddle.decisions.orders import has_pending_transfers
 from mintsaddle.fleet import Fleet
 from mintsaddle.values import Instant, Load, Reason
 
@@ -38,7 +38,7 @@
     """Return whether a leaving daemon has nothing left to do."""
     if state.arrivals or state.leave_by is None:
         return False
-    return now >= state.leave_by or not is_awaited(state.orders)
+    return now >= state.leave_by or not has_pending_transfers(state.orders)
 
 
 def describe_endpoint_load(state: EndpointState, now: Instant) -> Load:
--- a/mintsaddle/decisions/orders/__init__.py
+++ b/mintsaddle/decisions/orders/__init__.py
@@ -1,55 +1,55 @@
-"""Orders: calls that run at most once, with no state that lasts."""
+"""Orders: calls that run at most once, tracked in memory only."""
 
 from mintsaddle.decisions.orders._commands import (
     LEDGER_LIMIT,
-    KeyVerdict,
-    KeyWord,
+    KeyAction,
+    KeyDecision,
     close_order,
     decide_key,
     purge_ledger,
 )
-from mintsaddle.decisions.orders._handover import bequeath, keep_bequest
+from mintsaddle.decisions.orders._handover import close_ledger, store_snapshot
 from mintsaddle.decisions.orders._homes import (
     adopt_homes,
     answer_question,
     ask_homes,
     record_answer,
-    settle_alone,
+    settle_if_only_home,
 )
 from mintsaddle.decisions.orders._homes_messages import HomeAnswer, HomeQuestion
 from mintsaddle.decisions.orders._queries import (
+    has_pending_transfers,
     home_is_settled,
-    is_awaited,
 )
 from mintsaddle.decisions.orders._state import (
-    Bequest,
     HomeState,
     LedgerEntry,
+    LedgerSnapshot,
     OrdersState,
     OrderStatus,
 )
 
 __all__ = [
     "LEDGER_LIMIT",
-    "Bequest",
     "HomeAnswer",
     "HomeQuestion",
     "HomeState",
-    "KeyVerdict",
-    "KeyWord",
+    "KeyAction",
+    "KeyDecision",
     "LedgerEntry",
+    "LedgerSnapshot",
     "OrderStatus",
     "OrdersState",
     "adopt_homes",
     "answer_question",
     "ask_homes",
-    "bequeath",
+    "close_ledger",
     "close_order",
     "decide_key",
+    "has_pending_transfers",
     "home_is_settled",
-    "is_awaited",
-    "keep_bequest",
-    "record_answer",
     "purge_ledger",
-    "settle_alone",
+    "record_answer",
+    "settle_if_only_home",
+    "store_snapshot",
 ]
--- a/mintsaddle/decisions/orders/_commands.py
+++ b/mintsaddle/decisions/orders/_commands.py
@@ -1,4 +1,4 @@
-"""Deciding on an order's key, and writing down how the order ended."""
+"""Admission of order keys, and the record of how each order ended."""
 
 import enum
 from typing import NamedTuple
@@ -21,33 +21,35 @@
 )
 
 LEDGER_LIMIT = 50_000
-"""Orders that a home remembers; with more within the window it refuses."""
+"""Maximum orders in the ledger window; a full ledger refuses new ones."""
 
-_SOON = 0.5
-_TAKING_BACK = 3.0
-"""Seconds in which a fresh home may still get its last run's ledger back."""
+_RETRY_DELAY_S = 0.5
+"""Delay before a refused caller may retry."""
 
+_RESTORE_PERIOD_S = 3.0
+"""Time after a start in which the previous run's ledger may be restored."""
 
-class KeyWord(enum.Enum):
-    """What to do with an order that arrived."""
+
+class KeyAction(enum.Enum):
+    """Action for an arriving order."""
 
     RUN = "run"
-    """It is new here; it stands in the ledger as pending."""
+    """Run it: the key is new and is now pending in the ledger."""
 
     JOIN = "join"
-    """It is under way; its answer serves this arrival too."""
+    """Wait for the pending run and return its answer here too."""
 
     ANSWER = "answer"
-    """Its fate stands in the ledger."""
+    """Answer from the ledger: the outcome is known."""
 
     REFUSE = "refuse"
-    """This home doesn't run it."""
+    """Refuse it: this home doesn't run it."""
 
 
-class KeyVerdict(NamedTuple):
-    """The decision on an order's key."""
+class KeyDecision(NamedTuple):
+    """Decision on the key of an arriving order."""
 
-    word: KeyWord
+    action: KeyAction
     entry: LedgerEntry | None = None
     refusal: Refusal | None = None
 
@@ -59,7 +61,7 @@
     clock_bound: float,
     window: float,
     now: Instant,
-) -> KeyVerdict:
+) -> KeyDecision:
     """Decide on an arriving key; a key that may run becomes pending."""
     known = state.ledger.get(key.text)
     if known is not None:
@@ -68,13 +70,13 @@
     if refusal is None and state.closed:
         refusal = _refuse_closed(key, now)
     if refusal is not None:
-        return KeyVerdict(KeyWord.REFUSE, refusal=refusal)
+        return KeyDecision(KeyAction.REFUSE, refusal=refusal)
     if len(state.ledger) >= LEDGER_LIMIT:
-        full = Refusal(Claim.NONE, Reason.FULL, now + _SOON)
-        return KeyVerdict(KeyWord.REFUSE, refusal=full)
+        full = Refusal(Claim.NONE, Reason.FULL, now + _RETRY_DELAY_S)
+        return KeyDecision(KeyAction.REFUSE, refusal=full)
     entry = LedgerEntry(key, service, OrderStatus.PENDING)
     state.put_entry(entry)
-    return KeyVerdict(KeyWord.RUN, entry=entry)
+    return KeyDecision(KeyAction.RUN, entry=entry)
 
 
 def close_order(
@@ -85,10 +87,10 @@
     content_type: str = "",
     body: bytes = b"",
 ) -> LedgerEntry:
-    """Write how a pending order ended; return its entry.
+    """Record how a pending order ended; return its entry.
 
-    A tombstone is written before anyone is told ``not-run``: an earlier copy
-    that is still on its way would otherwise run after that word.
+    A tombstone is written before any caller is told ``not-run``: otherwise a
+    copy of the request still in transit could run after that answer.
     """
     service = state.ledger[key.text].service
     entry = LedgerEntry(key, service, status, http_status, content_type, body)
@@ -99,11 +101,11 @@
 def purge_ledger(
     state: OrdersState, clock_bound: float, window: float, now: Instant
 ) -> None:
-    """Forget orders that are too old to be accepted again.
+    """Delete entries of keys that are too old to be accepted again.
 
-    Keys that old are refused as in doubt, so forgetting can't run one twice.
-    They are kept two clock bounds longer: a home to which they move may have
-    a clock behind this one's, and would still take them.
+    Keys that old are refused as in doubt, so none runs twice. Entries are
+    kept two clock bounds longer: a home to which the keys move may have a
+    clock behind this one's and still accept them.
     """
     oldest = now - window - 2 * clock_bound
     old = [
@@ -115,13 +117,13 @@
         state.drop_entry(text)
 
 
-def _answer_known(known: LedgerEntry, service: str, now: Instant) -> KeyVerdict:
+def _answer_known(known: LedgerEntry, service: str, now: Instant) -> KeyDecision:
     if known.service != service:
-        refusal = Refusal(Claim.MAYBE, Reason.WRONG_HOME, now + _SOON)
-        return KeyVerdict(KeyWord.REFUSE, refusal=refusal)
+        refusal = Refusal(Claim.MAYBE, Reason.WRONG_HOME, now + _RETRY_DELAY_S)
+        return KeyDecision(KeyAction.REFUSE, refusal=refusal)
     if known.status is OrderStatus.PENDING:
-        return KeyVerdict(KeyWord.JOIN, entry=known)
-    return KeyVerdict(KeyWord.ANSWER, entry=known)
+        return KeyDecision(KeyAction.JOIN, entry=known)
+    return KeyDecision(KeyAction.ANSWER, entry=known)
 
 
 def _find_refusal(
@@ -136,27 +138,28 @@
         return Refusal(Claim.MAYBE, Reason.KEY_TOO_OLD, now)
     if key.origin is KeyOrigin.ISSUED:
         return _refuse_issued(state, key, now)
-    return _refuse_brought(state, key, service, clock_bound, now)
+    return _refuse_caller_supplied(state, key, service, clock_bound, now)
 
 
 def _refuse_closed(key: OrderKey, now: Instant) -> Refusal:
-    """Refuse a new key after the ledger was given away.
+    """Refuse a new key after the ledger was handed over.
 
-    Even a tombstone would be missing in it, so nothing is claimed of a brought
-    key: the next run may take it. An issued one belongs to this run alone.
+    The snapshot lacks even a tombstone of the key, so the refusal makes no
+    claim for a caller-supplied key, which the next run may accept. An issued
+    key is valid for this run only and never runs.
     """
     issued = key.origin is KeyOrigin.ISSUED
     claim = Claim.NEVER if issued else Claim.NONE
-    return Refusal(claim, Reason.LEAVING, now + _SOON)
+    return Refusal(claim, Reason.LEAVING, now + _RETRY_DELAY_S)
 
 
 def _refuse_issued(state: OrdersState, key: OrderKey, now: Instant) -> Refusal | None:
-    """Only the very run that an issued key names may execute it.
+    """Refuse an issued key unless it names this run.
 
-    Guards against a home that has lost its memory: it would show as an order
-    that ran in the run before and runs again. The key names the boot, and a
-    later run has another one. A run that ended as planned has left its whole
-    ledger, and what isn't in it did not run.
+    Otherwise a home that lost its ledger in a restart would run an order of
+    its previous run again. The key names a boot, and each run has its own. A
+    run that ended as planned has stored its complete ledger: a key that isn't
+    in it has not run.
     """
     is_here = key.home_tag == home_tag(state.vm)
     if is_here and key.boot == state.boot:
@@ -164,19 +167,19 @@
     floor = state.ended_runs.get(key.boot)
     if is_here and floor is not None and key.date > floor:
         return Refusal(Claim.NEVER, Reason.LEAVING, now)
-    if is_here and now < state.boot_at + _TAKING_BACK:
-        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _SOON)
+    if is_here and now < state.boot_at + _RESTORE_PERIOD_S:
+        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _RETRY_DELAY_S)
     return Refusal(Claim.MAYBE, Reason.WRONG_HOME, now)
 
 
-def _refuse_brought(
+def _refuse_caller_supplied(
     state: OrdersState, key: OrderKey, service: str, clock_bound: float, now: Instant
 ) -> Refusal | None:
     home = state.homes.get(service)
     if home is None or find_home(home.wanted.homes, key.text) != state.vm:
-        return Refusal(Claim.NONE, Reason.WRONG_HOME, now + _SOON)
+        return Refusal(Claim.NONE, Reason.WRONG_HOME, now + _RETRY_DELAY_S)
     if not home_is_settled(home):
-        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _SOON)
+        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _RETRY_DELAY_S)
     if key.date > now + clock_bound:
         return Refusal(Claim.NONE, Reason.KEY_IN_FUTURE, key.date)
     if key.date <= find_floor(state, home, key.text):
--- a/mintsaddle/decisions/orders/_handover.py
+++ b/mintsaddle/decisions/orders/_handover.py
@@ -1,74 +1,78 @@
-"""Handing ledgers over: to a new home, or to a leaving one's next run."""
+"""Transfer of ledgers: to a new home, or to the next run of a leaving one."""
 
 from collections.abc import Iterable
 
 from mintsaddle.decisions.orders._homes_messages import HomeQuestion
 from mintsaddle.decisions.orders._queries import find_own_floor
 from mintsaddle.decisions.orders._state import (
-    Bequest,
     HomeState,
     LedgerEntry,
+    LedgerSnapshot,
     OrdersState,
     OrderStatus,
 )
 from mintsaddle.fleet import find_home
 from mintsaddle.values import Instant
 
-_MOST_HANDED = 1000
+_MAX_HANDED_ENTRIES = 1000
 
 
-def bequeath(state: OrdersState) -> tuple[Bequest, ...]:
-    """Return what this run leaves to the other homes, one for each service.
+def close_ledger(state: OrdersState) -> tuple[LedgerSnapshot, ...]:
+    """Accept no new key; return a ledger snapshot for each service.
 
-    Afterwards it takes no new key: what it did then would be missing.
+    A key accepted afterwards would be missing in the snapshots.
     """
     state.close()
-    bequests = []
+    snapshots = []
     for service, home in state.homes.items():
         entries = (e for e in state.ledger.values() if e.service == service)
-        floor, newest = _newest(find_own_floor(home), entries)
-        bequests.append(Bequest(state.vm, state.boot, service, floor, newest))
-    return tuple(bequests)
+        floor, newest = _take_newest(find_own_floor(home), entries)
+        snapshots.append(LedgerSnapshot(state.vm, state.boot, service, floor, newest))
+    return tuple(snapshots)
 
 
-def keep_bequest(state: OrdersState, bequest: Bequest) -> None:
-    """Keep what a leaving home knows until its next run asks."""
-    home = state.homes.get(bequest.service)
+def store_snapshot(state: OrdersState, snapshot: LedgerSnapshot) -> None:
+    """Store the snapshot of a leaving home until its next run asks."""
+    home = state.homes.get(snapshot.service)
     if home is not None:
-        kept = {**home.kept, bequest.vm: bequest}
-        state.put_home(bequest.service, home._replace(kept=kept))
+        snapshots = {**home.snapshots, snapshot.vm: snapshot}
+        state.put_home(snapshot.service, home._replace(snapshots=snapshots))
 
 
-def offer_bequest(
+def offer_snapshot(
     home: HomeState, question: HomeQuestion
-) -> tuple[HomeState, Bequest | None]:
-    """Return the bequest for the asking run, if it is the first one to ask."""
-    kept = home.kept.get(question.asker)
-    if kept is None or kept.boot == question.boot:
+) -> tuple[HomeState, LedgerSnapshot | None]:
+    """Return the snapshot for the asking run if it is the first to ask."""
+    stored = home.snapshots.get(question.asker)
+    if stored is None or stored.boot == question.boot:
         return home, None
-    if kept.offered_to in (0, question.boot):
-        kept = kept._replace(offered_to=question.boot)
-        return home._replace(kept={**home.kept, question.asker: kept}), kept
-    others = {vm: item for vm, item in home.kept.items() if vm != question.asker}
-    return home._replace(kept=others), None
-
-
-def take_back(state: OrdersState, home: HomeState, others: frozenset[str]) -> HomeState:
-    """Take back what the run before left, if every other home offers it."""
+    if stored.offered_to in (0, question.boot):
+        stored = stored._replace(offered_to=question.boot)
+        return home._replace(
+            snapshots={**home.snapshots, question.asker: stored}
+        ), stored
+    others = {vm: item for vm, item in home.snapshots.items() if vm != question.asker}
+    return home._replace(snapshots=others), None
+
+
+def restore_ledger(
+    state: OrdersState, home: HomeState, others: frozenset[str]
+) -> HomeState:
+    """Restore the previous run's ledger if every other home offers it."""
     offers = list(home.offers.values())
     if not offers or set(home.offers) != others:
         return home
     if len({offer.boot for offer in offers}) > 1:
         return home
-    take_over(state, offers[0].entries)
+    merge_entries(state, offers[0].entries)
     state.put_ended_run(offers[0].boot, offers[0].floor)
     return home._replace(boot_floor=offers[0].floor)
 
 
-def hand_over(
+def export_entries(
     state: OrdersState, home: HomeState, question: HomeQuestion
 ) -> tuple[Instant, tuple[LedgerEntry, ...]]:
-    """Return the orders whose keys belong to the asker, and a floor."""
+    """Return a floor and the entries whose keys are assigned to the asker."""
     if question.asker not in home.wanted.homes:
         return find_own_floor(home), ()
     entries = (
@@ -77,28 +81,28 @@
         if entry.service == question.service
         and find_home(home.wanted.homes, entry.key.text) == question.asker
     )
-    return _newest(find_own_floor(home), entries)
+    return _take_newest(find_own_floor(home), entries)
 
 
-def _newest(
+def _take_newest(
     floor: Instant, entries: Iterable[LedgerEntry]
 ) -> tuple[Instant, tuple[LedgerEntry, ...]]:
-    """Return the newest entries, and the date after which none is missing."""
+    """Return the date after which none is missing, and the newest entries."""
     ordered = sorted(entries, key=lambda entry: entry.key.date, reverse=True)
-    if len(ordered) > _MOST_HANDED:
-        floor = max(floor, ordered[_MOST_HANDED].key.date)
-    newest = ordered[:_MOST_HANDED]
-    return floor, tuple(_without_pending(entry) for entry in newest)
+    if len(ordered) > _MAX_HANDED_ENTRIES:
+        floor = max(floor, ordered[_MAX_HANDED_ENTRIES].key.date)
+    newest = ordered[:_MAX_HANDED_ENTRIES]
+    return floor, tuple(_mark_in_doubt(entry) for entry in newest)
 
 
-def _without_pending(entry: LedgerEntry) -> LedgerEntry:
-    """A pending order ends where it began; elsewhere its end isn't known."""
+def _mark_in_doubt(entry: LedgerEntry) -> LedgerEntry:
+    """Mark a pending order as in doubt: only this home learns its outcome."""
     if entry.status is OrderStatus.PENDING:
         return entry._replace(status=OrderStatus.IN_DOUBT)
     return entry
 
 
-def take_over(state: OrdersState, entries: Iterable[LedgerEntry]) -> None:
+def merge_entries(state: OrdersState, entries: Iterable[LedgerEntry]) -> None:
     for entry in entries:
         known = state.ledger.get(entry.key.text)
         if known is None or known.status is OrderStatus.IN_DOUBT:
--- a/mintsaddle/decisions/orders/_homes_messages.py
+++ b/mintsaddle/decisions/orders/_homes_messages.py
@@ -1,45 +1,45 @@
-"""What homes ask each other."""
+"""Messages between homes."""
 
 from typing import NamedTuple
 
-from mintsaddle.decisions.orders._state import Bequest, LedgerEntry
+from mintsaddle.decisions.orders._state import LedgerEntry, LedgerSnapshot
 from mintsaddle.fleet import OrderHomes
 from mintsaddle.values import Boot, Instant
 
 
 class HomeQuestion(NamedTuple):
-    """A home's question to another one."""
+    """Question of one home to another."""
 
     asker: str
     boot: Boot
-    """The asking run."""
+    """The run of the asker."""
 
     service: str
     nonce: int
     wants_ledger: bool
-    """Whether the answer should hand over what it knows."""
+    """Whether the answer should include ledger entries of the asker's keys."""
 
 
 class HomeAnswer(NamedTuple):
-    """A home's word on where it stands."""
+    """State of a home, and the entries that it hands over."""
 
     vm: str
     boot: Boot
     service: str
     nonce: int
-    """The nonce of the question that it answers."""
+    """Nonce of the answered question."""
 
     homes: OrderHomes | None
-    """The list that it follows; None if its text doesn't know the service."""
+    """The adopted list; None if the adopted text lacks the service."""
 
     text_revision: int
     anchored: bool
     settled: bool
     floor: Instant = 0.0
-    """Keys of the asker dated after it ran here only if handed over."""
+    """Keys of the asker dated after it have run here only if handed over."""
 
     handed: tuple[LedgerEntry, ...] = ()
-    """Orders whose keys now belong to the asker."""
+    """Entries whose keys are now assigned to the asker."""
 
-    offer: Bequest | None = None
-    """What the asker's run before gave this home to keep."""
+    offer: LedgerSnapshot | None = None
+    """Snapshot that the asker's previous run stored at this home."""
--- a/mintsaddle/decisions/orders/_state.py
+++ b/mintsaddle/decisions/orders/_state.py
@@ -1,4 +1,4 @@
-"""A home's ledger and its standing among the homes of each service."""
+"""Ledger of a home, and its agreement state with the homes of each service."""
 
 import enum
 from collections.abc import Mapping
@@ -9,121 +9,125 @@
 
 
 class OrderStatus(enum.Enum):
-    """What a home knows of a key."""
+    """Status of a key in the ledger of a home."""
 
     PENDING = "pending"
-    """Given to the engine or waiting for it; the answer isn't known yet."""
+    """Queued for the engine or running; the answer isn't known yet."""
 
     DONE = "done"
-    """Ran; the answer is kept."""
+    """Ran; the answer is stored."""
 
     TOMBSTONE = "tombstone"
-    """Refused; it didn't run and never will."""
+    """Refused; it hasn't run and never will."""
 
     IN_DOUBT = "in-doubt"
-    """The engine broke off; it may have run."""
+    """The call to the engine was interrupted; the order may have run."""
 
 
 class LedgerEntry(NamedTuple):
-    """What a home remembers of one order."""
+    """Ledger entry of one order."""
 
     key: OrderKey
     service: str
     status: OrderStatus
     http_status: int = 0
-    """Status of the engine's answer when done."""
+    """HTTP status of the engine's answer if the order is done."""
 
     content_type: str = ""
     body: bytes = b""
 
 
 class HomeMove(NamedTuple):
-    """One settling: which keys it brought here, and which are barred."""
+    """One agreement on a list of homes, and the floor for keys it moved here.
 
-    before: tuple[OrderHomes, ...]
-    """Lists that held until then; empty at the first settling of a run."""
+    A floor is a date up to which a key may have run elsewhere, so that a key
+    drawn at or before it is refused.
+    """
+
+    previous_lists: tuple[OrderHomes, ...]
+    """Lists in use until then; empty at the first agreement of a run."""
 
     floor: Instant
-    """Keys dated up to it may have run at another home before."""
+    """Keys dated up to it may already have run at another home."""
 
 
-class Bequest(NamedTuple):
-    """What a leaving home gives the others to keep for its next run.
+class LedgerSnapshot(NamedTuple):
+    """Ledger that a leaving home stores at the others for its next run.
 
-    It is offered to the first run that asks and dropped when another one
-    does: what that first run did is not in it.
+    It is offered to the first run that asks and dropped when a later run
+    asks, since it lacks the orders of that first run.
     """
 
     vm: str
     boot: Boot
-    """The run that left."""
+    """The run that wrote it."""
 
     service: str
     floor: Instant
-    """Keys dated after it ran only if the entries say so."""
+    """Keys dated after it have run only if they are among the entries."""
 
     entries: tuple[LedgerEntry, ...]
     offered_to: Boot = 0
-    """The run that it was offered to; 0 before."""
+    """The run that it was offered to; 0 if none."""
 
 
 class HomeState(NamedTuple):
-    """A home's standing for the brought keys of one service."""
+    """State of a home for the caller-supplied keys of one service."""
 
     wanted: OrderHomes
-    """The homes in the text in force."""
+    """The homes in the adopted fleet text."""
 
     bootstrap: Instant
-    """The text's word that homes started before it know nothing."""
+    """Homes started before it may agree with none anchored; 0 if unset."""
 
     anchored: bool = False
-    """Whether the text in force is known to be as new as any agreed one."""
+    """Whether the adopted text is known to be as new as any agreed one."""
 
     settled: OrderHomes | None = None
-    """The homes to which all homes have agreed, as far as known here."""
+    """The newest list known here to be agreed by all homes."""
 
     unsettled: tuple[OrderHomes, ...] = ()
-    """Lists followed since the settled one, which others may have settled."""
+    """Lists adopted since the settled one; others may have settled them."""
 
     moves: tuple[HomeMove, ...] = ()
-    """Each settling in this run's memory that still bars keys."""
+    """Agreements of this run whose floors still apply."""
 
     boot_floor: Instant = 0.0
-    """Keys dated up to it may have run before this run's start."""
+    """Keys dated up to it may have run before this run started."""
 
-    ask_at: Instant = 0.0
-    """Before it nobody is asked."""
+    next_ask_at: Instant = 0.0
+    """No questions are sent before it."""
 
-    vouch_at: Instant = 0.0
-    """From then on another settled home's word is enough; 0 before asking."""
+    single_answer_at: Instant = 0.0
+    """Time after which one settled home's answer is enough; 0 until asking."""
 
     round_number: int = 1
-    """1 while collecting acknowledgements, 2 while asking a second time."""
+    """1 while collecting acknowledgements, 2 while repeating the questions."""
 
-    first_boots: Mapping[str, Boot] = {}
-    """Runs that acknowledged in the first round."""
+    first_round_boots: Mapping[str, Boot] = {}
+    """Boot of each home that acknowledged in the first round."""
 
-    second_boots: Mapping[str, Boot] = {}
-    """Runs that acknowledged in the second round."""
+    second_round_boots: Mapping[str, Boot] = {}
+    """Boot of each home that acknowledged in the second round."""
 
     floors: Mapping[str, Instant] = {}
-    """From which date each home has handed over all that it knows."""
+    """Date after which each home has handed over all its entries."""
 
-    offers: Mapping[str, Bequest] = {}
-    """What each home keeps of this home's run before."""
+    offers: Mapping[str, LedgerSnapshot] = {}
+    """Snapshot of this home's previous run, as offered by each home."""
 
     nonces: Mapping[str, int] = {}
-    """The open question to each home; an answer to another one is too old."""
+    """Nonce of the open question to each home; other answers are stale."""
 
-    handed_to: frozenset[str] = frozenset()
-    """Homes that have asked in their second round since the list changed."""
+    handed_over_to: frozenset[str] = frozenset()
+    """Homes that have asked for the ledger since the list changed."""
 
-    kept: Mapping[str, Bequest] = {}
-    """What homes that have left gave this one to keep, by their names."""
+    snapshots: Mapping[str, LedgerSnapshot] = {}
+    """Snapshots stored here for homes that have left, by VM name."""
 
 
 class OrdersState:
-    """The orders of one run of one endpoint daemon."""
+    """Orders of one run of an endpoint daemon."""
 
     def __init__(self, vm: str, boot: Boot, boot_at: Instant) -> None:
         self._vm = vm
@@ -151,44 +155,44 @@
 
     @property
     def ledger(self) -> Mapping[str, LedgerEntry]:
-        """What is known of each key, by its text."""
+        """Ledger entries by the text of their keys."""
         return self._ledger
 
     @property
     def homes(self) -> Mapping[str, HomeState]:
-        """The standing for each service."""
+        """State of the homes of each service."""
         return self._homes
 
     @property
     def closed(self) -> bool:
-        """Whether the ledger was given away and takes no new key."""
+        """Whether the ledger was handed over and accepts no new key."""
         return self._closed
 
     @property
     def ended_runs(self) -> Mapping[Boot, Instant]:
-        """Earlier runs whose whole ledger is here, each with its floor."""
+        """Earlier runs whose complete ledger is here, with their floors."""
         return self._ended_runs
 
     def put_ended_run(self, boot: Boot, floor: Instant) -> None:
-        """Note that an earlier run's ledger was taken back whole."""
+        """Record that the complete ledger of an earlier run was restored."""
         self._ended_runs[boot] = max(floor, self._ended_runs.get(boot, floor))
 
     def close(self) -> None:
-        """Take no new key from now on, not even to bury it."""
+        """Accept no new key from now on, not even as a tombstone."""
         self._closed = True
 
     def put_entry(self, entry: LedgerEntry) -> None:
-        """Write what is known of a key."""
+        """Insert or replace the ledger entry of a key."""
         self._ledger[entry.key.text] = entry
 
     def drop_entry(self, key: str) -> None:
-        """Forget a key that is older than the ledger's window."""
+        """Delete a key that is older than the ledger window."""
         del self._ledger[key]
 
     def put_home(self, service: str, home: HomeState) -> None:
-        """Set the standing for a service."""
+        """Set the state for a service."""
         self._homes[service] = home
 
     def drop_home(self, service: str) -> None:
-        """Forget the standing for a service that the text took out."""
+        """Delete the state for a service that is not in the fleet text now."""
         self._homes.pop(service, None)
--- a/mintsaddle/decisions/orders/tests/test_homes_machine.py
+++ b/mintsaddle/decisions/orders/tests/test_homes_machine.py
@@ -1,8 +1,7 @@
-"""Homes under every interleaving of edits, restarts, late words and keys.
+"""Tests that a key runs at most once while lists of homes change.
 
-The machine holds a fleet text that moves homes, an old platform replica that
-any restarted home may read, and words between homes that come late, doubled
-or never. A key may run once.
+A state machine interleaves new fleet texts, restarts beside stale platform
+replicas, late, duplicated or lost answers between homes, and repeated keys.
 """
 
 import random
@@ -24,26 +23,26 @@
 
 from mintsaddle.decisions.orders import (
     HomeAnswer,
-    KeyWord,
+    KeyAction,
     OrdersState,
     OrderStatus,
     _homes,
     adopt_homes,
     answer_question,
     ask_homes,
-    bequeath,
+    close_ledger,
     close_order,
     decide_key,
     home_is_settled,
-    keep_bequest,
     record_answer,
+    store_snapshot,
 )
 from mintsaddle.decisions.orders._state import HomeState
 from mintsaddle.fleet import OrderHomes, find_home
 from mintsaddle.values import KeyOrigin, OrderKey
 
 SERVICE = "redirections"
-BOUND = 0.1
+CLOCK_BOUND = 0.1
 WINDOW = 1000.0
 VMS = ("a", "b", "c")
 
@@ -58,30 +57,30 @@
     9: _list("bc", "a"),
     10: _list("ac", "b"),
 }
-"""Lists by revision; each names all that may still run."""
+"""Lists by revision; each includes all homes that may still run."""
 
 
 class Home:
-    """One run of one home."""
+    """A run of a home."""
 
     def __init__(self, vm: str, boot: int, now: float) -> None:
         self.orders = OrdersState(vm, boot, now)
         self.revision = 0
 
     def adopt(self, revision: int, bootstrap: float) -> None:
-        """Follow a newer text."""
+        """Adopt a text if it is newer."""
         if revision > self.revision:
             self.revision = revision
             homes = TEXTS[revision]
-            adopt_homes(self.orders, SERVICE, homes, bootstrap, BOUND)
+            adopt_homes(self.orders, SERVICE, homes, bootstrap, CLOCK_BOUND)
 
-    def standing(self) -> HomeState | None:
-        """Where this home stands."""
+    def state_of_service(self) -> HomeState | None:
+        """Return the state for the service."""
         return self.orders.homes.get(SERVICE)
 
 
 class HomesMachine(RuleBasedStateMachine):
-    """Three homes and whatever may happen to them."""
+    """Three homes under random events."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -93,20 +92,20 @@
         self.answers: list[tuple[str, int, HomeAnswer]] = []
         self.executions: Counter[str] = Counter()
         self.keys: list[OrderKey] = []
-        # Text 7 was written after these homes had started; no later one says
-        # so, since they keep their memory.
+        # The bootstrap date of text 7 is later than the start of these homes.
+        # Later texts don't advance it, as the homes keep their ledgers.
         self.bootstrap = self.now + 1.0
 
     @initialize()
     def settle_first_list(self) -> None:
-        """Let the first list settle, as it does at a quiet start."""
+        """Settle the first list, as in a start without faults."""
         for home in self.homes.values():
             home.adopt(7, self.bootstrap)
         for _ in range(3):
             for vm in VMS:
                 self.ask(vm)
             for index in range(len(self.answers)):
-                self.hear(index)
+                self.deliver(index)
             self.answers.clear()
         self.now += 1.0
 
@@ -134,19 +133,19 @@
         planned=st.booleans(),
     )
     def restart(self, vm: str, revision: int, planned: bool) -> None:
-        """Restart a home beside a replica that may be stale."""
+        """Restart a home that reads a replica which may be stale."""
         if planned:
-            for bequest in bequeath(self.homes[vm].orders):
+            for snapshot in close_ledger(self.homes[vm].orders):
                 for other in VMS:
                     if other != vm:
-                        keep_bequest(self.homes[other].orders, bequest)
+                        store_snapshot(self.homes[other].orders, snapshot)
         self.boots += 1
         self.homes[vm] = Home(vm, self.boots, self.now)
         self.homes[vm].adopt(min(revision, self.published), self.bootstrap)
 
     @rule(vm=st.sampled_from(VMS))
     def ask(self, vm: str) -> None:
-        """Ask all; the answers are on their way."""
+        """Ask all other homes; the answers are in transit."""
         home = self.homes[vm]
         for other, question in ask_homes(home.orders, SERVICE, self.now, self.rng):
             peer = self.homes[other]
@@ -154,19 +153,19 @@
             self.answers.append((vm, home.orders.boot, answer))
 
     @rule(vm=st.sampled_from(VMS), silent=st.sampled_from(["", *VMS]))
-    def converse(self, vm: str, silent: str) -> None:
-        """Ask all and hear all but one, until nothing more comes of it."""
+    def converge(self, vm: str, silent: str) -> None:
+        """Ask three times; deliver the answers of all but the silent home."""
         for _ in range(3):
             self.answers.clear()
             self.ask(vm)
             for index in range(len(self.answers)):
                 if self.answers[-1 - index][2].vm != silent:
-                    self.hear(index)
+                    self.deliver(index)
             self.now += 1.0
 
     @rule(index=st.integers(0, 5))
-    def hear(self, index: int) -> None:
-        """Deliver one of the newest answers, maybe again, maybe much later."""
+    def deliver(self, index: int) -> None:
+        """Deliver one of the newest answers, possibly again or late."""
         if index >= len(self.answers):
             return
         vm, boot, answer = self.answers[-1 - index]
@@ -174,31 +173,31 @@
         if home.orders.boot != boot:
             return
         home.adopt(answer.text_revision, self.bootstrap)
-        record_answer(home.orders, answer, home.revision, BOUND, self.now)
+        record_answer(home.orders, answer, home.revision, CLOCK_BOUND, self.now)
 
-    def draw(self) -> None:
+    def add_key(self) -> None:
         number = len(self.keys)
         self.keys.append(OrderKey(f"key-{number}", KeyOrigin.BROUGHT, self.now, 0, 0))
 
     @rule(order=st.permutations(VMS), ends=st.booleans())
-    def bring_new(self, order: list[str], ends: bool) -> None:
-        """Draw some keys and bring each to all homes, as retries may."""
+    def call_with_new_keys(self, order: list[str], ends: bool) -> None:
+        """Send each of some new keys to all homes, as retries may do."""
         self.now += 0.5
         for _ in range(4):
-            self.draw()
+            self.add_key()
             for vm in order:
-                self._bring(vm, self.keys[-1], ends)
+                self._call(vm, self.keys[-1], ends)
 
     @rule(vm=st.sampled_from(VMS), ends=st.booleans())
-    def bring_old(self, vm: str, ends: bool) -> None:
-        """Bring the last keys again, to one home."""
+    def call_with_old_keys(self, vm: str, ends: bool) -> None:
+        """Send the latest keys to one home again."""
         for key in self.keys[-8:]:
-            self._bring(vm, key, ends)
+            self._call(vm, key, ends)
 
-    def _bring(self, vm: str, key: OrderKey, ends: bool) -> None:
+    def _call(self, vm: str, key: OrderKey, ends: bool) -> None:
         orders = self.homes[vm].orders
-        verdict = decide_key(orders, key, SERVICE, BOUND, WINDOW, self.now)
-        if verdict.word is KeyWord.RUN:
+        verdict = decide_key(orders, key, SERVICE, CLOCK_BOUND, WINDOW, self.now)
+        if verdict.action is KeyAction.RUN:
             self.executions[key.text] += 1
             if ends:
                 close_order(orders, key, OrderStatus.DONE, 200)
@@ -224,34 +223,34 @@
     )
 
 
-class Story(HomesMachine):
-    """One order of events, told step by step."""
+class Scenario(HomesMachine):
+    """A fixed sequence of events."""
 
     def __init__(self) -> None:
         super().__init__()
         self.settle_first_list()
 
     def move_to(self, revision: int, vms: str = "abc") -> None:
-        """Publish a list and let some homes read it."""
+        """Publish a text and let some homes read it."""
         self.published = revision
         for vm in vms:
             self.read_newest(vm)
 
-    def talk(self, vms: str, silent: str = "") -> None:
-        """Let homes ask one after the other."""
+    def settle(self, vms: str, silent: str = "") -> None:
+        """Let homes agree one after the other."""
         for vm in vms:
-            self.converse(vm, silent)
+            self.converge(vm, silent)
 
     def runs(self, vms: str, key: OrderKey) -> int:
-        """Bring a key to homes; return how often it has run."""
+        """Send a key to homes; return how often it has run."""
         for vm in vms:
-            self._bring(vm, key, True)
+            self._call(vm, key, True)
         return self.executions[key.text]
 
     def key_of(self, *homes: str) -> OrderKey:
-        """Return a key dated now that lists 7, 8 and so on give to these."""
+        """Return a key dated now that texts 7, 8, ... assign to the homes."""
         for number in range(10_000):
-            text = f"story-{len(self.keys)}-{number}"
+            text = f"scenario-{len(self.keys)}-{number}"
             lists = [TEXTS[7 + place].homes for place in range(len(homes))]
             owners = tuple(find_home(names, text) for names in lists)
             if owners == homes:
@@ -269,90 +268,90 @@
     return 0.0
 
 
-def _offer_always(home: HomeState, question: Any) -> Any:
-    return home, home.kept.get(question.asker)
+def _always_offer(home: HomeState, question: Any) -> Any:
+    return home, home.snapshots.get(question.asker)
 
 
 def _one_round(home: HomeState, answer: HomeAnswer) -> HomeState:
-    """Count the first acknowledgement as the second one, too."""
-    first = {**home.first_boots, answer.vm: answer.boot}
+    """Count the first acknowledgement as the second one too."""
+    first = {**home.first_round_boots, answer.vm: answer.boot}
     floors = {**home.floors, answer.vm: answer.floor}
     return home._replace(
-        first_boots=first, second_boots=first, floors=floors, round_number=2
+        first_round_boots=first, second_round_boots=first, floors=floors, round_number=2
     )
 
 
 def restart_between_acknowledgements() -> int:
-    """A caller's order runs twice.
+    """An order runs twice if one round of acknowledgements is enough.
 
     A acknowledges text 8 to B and restarts beside a stale replica at 7. C,
-    still at 7, vouches for A's list. Then C acknowledges 8 to B as well, and
-    B starts while A runs on the list of 7.
+    still at 7, confirms A's list. Then C acknowledges 8 to B as well, and B
+    starts while A runs on the list of 7.
     """
-    story = Story()
-    story.move_to(8, "ab")
-    story.talk("b")
-    story.restart("a", 7, planned=False)
-    story.talk("aa")
-    story.read_newest("c")
-    story.talk("b", silent="a")
-    story.now += 2.0
-    return story.runs("ab", story.key_of("a", "b"))
+    scenario = Scenario()
+    scenario.move_to(8, "ab")
+    scenario.settle("b")
+    scenario.restart("a", 7, planned=False)
+    scenario.settle("aa")
+    scenario.read_newest("c")
+    scenario.settle("b", silent="a")
+    scenario.now += 2.0
+    return scenario.runs("ab", scenario.key_of("a", "b"))
 
 
 def all_old_homes_restart() -> int:
-    """A caller's order runs twice.
+    """An order runs twice if homes settle without an anchored one.
 
     B, new in text 8, serves. A and C restart together beside a replica that
-    still shows 7, and find that all homes of that list agree.
+    is still at 7, and all homes of that list agree.
     """
-    story = Story()
-    story.move_to(8)
-    story.talk("abcabc")
-    story.restart("a", 7, planned=False)
-    story.restart("c", 7, planned=False)
-    story.talk("acac")
-    story.now += 2.0
-    return story.runs("ab", story.key_of("a", "b"))
+    scenario = Scenario()
+    scenario.move_to(8)
+    scenario.settle("abcabc")
+    scenario.restart("a", 7, planned=False)
+    scenario.restart("c", 7, planned=False)
+    scenario.settle("acac")
+    scenario.now += 2.0
+    return scenario.runs("ab", scenario.key_of("a", "b"))
 
 
-def former_home_lost_its_memory() -> int:
-    """A caller's order runs twice.
+def former_home_lost_its_ledger() -> int:
+    """An order runs twice if moved keys have no floor.
 
     A runs a key and is killed. Its next run settles and then hands over to B
-    under text 8 what it knows, which misses the key; a late copy comes to B.
+    under text 8 a ledger that lacks the key; a late copy arrives at B.
     """
-    story = Story()
-    key = story.key_of("a", "b")
-    story.runs("a", key)
-    story.restart("a", 7, planned=False)
-    story.talk("aa")
-    story.move_to(8)
-    story.talk("abcabc")
-    return story.runs("b", key)
+    scenario = Scenario()
+    key = scenario.key_of("a", "b")
+    scenario.runs("a", key)
+    scenario.restart("a", 7, planned=False)
+    scenario.settle("aa")
+    scenario.move_to(8)
+    scenario.settle("abcabc")
+    return scenario.runs("b", key)
 
 
 def run_between_two_others() -> int:
-    """A caller's order runs twice.
+    """An order runs twice if a snapshot is offered to a second run.
 
-    A leaves as planned and gives its ledger away. Its next run takes it back,
-    runs a key and is killed; the one after gets the same old ledger.
+    A leaves as planned and stores its ledger. Its next run restores it, runs
+    a key and is killed; the run after that gets the same old snapshot.
     """
-    story = Story()
-    story.restart("a", 7, planned=True)
-    story.talk("aca")
-    key = story.key_of("a")
-    story.runs("a", key)
-    story.restart("a", 7, planned=False)
-    story.talk("aca")
-    return story.runs("a", key)
+    scenario = Scenario()
+    scenario.restart("a", 7, planned=True)
+    scenario.settle("aca")
+    key = scenario.key_of("a")
+    scenario.runs("a", key)
+    scenario.restart("a", 7, planned=False)
+    scenario.settle("aca")
+    return scenario.runs("a", key)
 
 
-STORIES = [
+SCENARIOS = [
     (restart_between_acknowledgements, "_count_answer", _one_round),
     (all_old_homes_restart, "_may_settle", _always),
-    (former_home_lost_its_memory, "_find_move_floor", _no_floor),
-    (run_between_two_others, "offer_bequest", _offer_always),
+    (former_home_lost_its_ledger, "_find_move_floor", _no_floor),
+    (run_between_two_others, "offer_snapshot", _always_offer),
 ]
 
 
@@ -361,52 +360,56 @@
         run_machine(200, 30)
 
     def test_quiet_start_settles(self) -> None:
-        standings = [Story().homes[vm].standing() for vm in "ac"]
-        assert all(home and home_is_settled(home) for home in standings)
+        states = [Scenario().homes[vm].state_of_service() for vm in "ac"]
+        assert all(home and home_is_settled(home) for home in states)
 
-    @pytest.mark.parametrize(("story", "name", "guard"), STORIES)
+    @pytest.mark.parametrize(("scenario", "name", "guard"), SCENARIOS)
     def test_guard_is_needed(
-        self, story: Callable[[], int], name: str, guard: Callable[..., Any]
+        self, scenario: Callable[[], int], name: str, guard: Callable[..., Any]
     ) -> None:
-        assert story() == 1, story.__doc__
+        assert scenario() == 1, scenario.__doc__
         with patch.object(_homes, name, guard):
-            assert story() == 2, f"without {name} the story should go wrong"
+            assert scenario() == 2, f"without {name} the key should run twice"
 
 
 class TestBootstrap:
     def test_bootstrap_published_later_settles_the_homes(self) -> None:
-        """Guards against homes that never settle after a common restart."""
-        story = Story()
+        """Guards against homes that never settle after all have restarted."""
+        scenario = Scenario()
         for vm in "ac":
-            story.restart(vm, 7, planned=False)
-        story.talk("acac")
-        key = story.key_of("a")
-        assert story.runs("a", key) == 0
-        story.bootstrap = story.now + 1.0
+            scenario.restart(vm, 7, planned=False)
+        scenario.settle("acac")
+        key = scenario.key_of("a")
+        assert scenario.runs("a", key) == 0
+        scenario.bootstrap = scenario.now + 1.0
         for vm in "ac":
             adopt_homes(
-                story.homes[vm].orders, SERVICE, TEXTS[7], story.bootstrap, BOUND
+                scenario.homes[vm].orders,
+                SERVICE,
+                TEXTS[7],
+                scenario.bootstrap,
+                CLOCK_BOUND,
             )
-        story.talk("acac")
-        story.now += 2.0
-        assert story.runs("a", story.key_of("a")) == 1
+        scenario.settle("acac")
+        scenario.now += 2.0
+        assert scenario.runs("a", scenario.key_of("a")) == 1
 
 
 class TestPlannedRestart:
     def test_key_before_the_stop_is_answered_after_it(self) -> None:
         """Guards against an order in doubt after a planned restart."""
-        story = Story()
-        key = story.key_of("a")
-        story.runs("a", key)
-        story.restart("a", 7, planned=True)
-        story.talk("aca")
-        orders = story.homes["a"].orders
-        verdict = decide_key(orders, key, SERVICE, BOUND, WINDOW, story.now)
-        assert verdict.word is KeyWord.ANSWER
+        scenario = Scenario()
+        key = scenario.key_of("a")
+        scenario.runs("a", key)
+        scenario.restart("a", 7, planned=True)
+        scenario.settle("aca")
+        orders = scenario.homes["a"].orders
+        verdict = decide_key(orders, key, SERVICE, CLOCK_BOUND, WINDOW, scenario.now)
+        assert verdict.action is KeyAction.ANSWER
 
     def test_new_key_drawn_during_the_stop_runs(self) -> None:
-        story = Story()
-        key = story.key_of("a")
-        story.restart("a", 7, planned=True)
-        story.talk("aca")
-        assert story.runs("a", key) == 1
+        scenario = Scenario()
+        key = scenario.key_of("a")
+        scenario.restart("a", 7, planned=True)
+        scenario.settle("aca")
+        assert scenario.runs("a", key) == 1
--- a/mintsaddle/endpoint/_homes.py
+++ b/mintsaddle/endpoint/_homes.py
@@ -4,14 +4,14 @@
 
 from mintsaddle.daemon import DaemonNode
 from mintsaddle.decisions.orders import (
-    Bequest,
     HomeQuestion,
+    LedgerSnapshot,
     OrdersState,
     answer_question,
     ask_homes,
-    bequeath,
+    close_ledger,
     record_answer,
-    settle_alone,
+    settle_if_only_home,
 )
 from mintsaddle.observe import make_logger
 from mintsaddle.transport import (
@@ -58,13 +58,13 @@
     """Give the ledger to the other homes, for the next run of this one."""
     gifts = [
         _give(node, vm, bequest)
-        for bequest in bequeath(orders)
+        for bequest in close_ledger(orders)
         for vm in orders.homes[bequest.service].wanted.to_ask - {orders.vm}
     ]
     await asyncio.gather(*gifts)
 
 
-async def _give(node: DaemonNode, vm: str, bequest: Bequest) -> None:
+async def _give(node: DaemonNode, vm: str, bequest: LedgerSnapshot) -> None:
     fleet = node.configuration.fleet
     address = fleet.address_of(vm) if fleet else None
     if address is None:
@@ -81,7 +81,7 @@
 def _settle_alone(node: DaemonNode, orders: OrdersState, service: str) -> None:
     fleet = node.configuration.fleet
     if fleet is not None:
-        settle_alone(orders, service, fleet.clock_bound, node.now())
+        settle_if_only_home(orders, service, fleet.clock_bound, node.now())
 
 
 async def _ask(
--- a/mintsaddle/endpoint/_run.py
+++ b/mintsaddle/endpoint/_run.py
@@ -21,7 +21,7 @@
     start_leaving,
     tick,
 )
-from mintsaddle.decisions.orders import home_is_settled, keep_bequest
+from mintsaddle.decisions.orders import home_is_settled, store_snapshot
 from mintsaddle.endpoint._groups import GroupRunner
 from mintsaddle.endpoint._homes import answer_home, keep_settled, leave_ledger
 from mintsaddle.endpoint._host import EndpointHost
@@ -68,7 +68,7 @@
         node,
         describe=lambda status: describe_endpoint(host, groups, status),
         answer_home=lambda question: answer_home(node, state.orders, question),
-        keep_bequest=lambda gift: keep_bequest(state.orders, read_bequest(gift)),
+        keep_bequest=lambda gift: store_snapshot(state.orders, read_bequest(gift)),
         obey_group=groups.obey,
     )
     await start_server(node, [peers, CallService(host)])
--- a/mintsaddle/transport/_convert.py
+++ b/mintsaddle/transport/_convert.py
@@ -7,10 +7,10 @@
 
 from mintsaddle.decisions.configuration import ConfigurationState
 from mintsaddle.decisions.orders import (
-    Bequest,
     HomeAnswer,
     HomeQuestion,
     LedgerEntry,
+    LedgerSnapshot,
     OrderStatus,
 )
 from mintsaddle.fleet import OrderHomes
@@ -156,7 +156,7 @@
     )
 
 
-def write_bequest(bequest: Bequest, stamp: Stamp) -> pb.Bequest:
+def write_bequest(bequest: LedgerSnapshot, stamp: Stamp) -> pb.Bequest:
     """Return the message form of a leaving home's ledger."""
     return pb.Bequest(
         stamp=write_stamp(stamp),
@@ -168,10 +168,12 @@
     )
 
 
-def read_bequest(message: pb.Bequest) -> Bequest:
+def read_bequest(message: pb.Bequest) -> LedgerSnapshot:
     """Return the ledger in a message."""
     entries = _read_entries(message.entries, message.service)
-    return Bequest(message.vm, message.boot, message.service, message.floor, entries)
+    return LedgerSnapshot(
+        message.vm, message.boot, message.service, message.floor, entries
+    )
 
 
 def _read_entries(
--- a/mintsaddle/transport/tests/test_convert.py
+++ b/mintsaddle/transport/tests/test_convert.py
@@ -13,10 +13,10 @@
     adopt_text,
 )
 from mintsaddle.decisions.orders import (
-    Bequest,
     HomeAnswer,
     HomeQuestion,
     LedgerEntry,
+    LedgerSnapshot,
     OrderStatus,
 )
 from mintsaddle.fleet import OrderHomes
@@ -64,14 +64,14 @@
 
     @pytest.mark.parametrize("homes", [None, HOMES])
     def test_home_answer(self, homes: OrderHomes | None) -> None:
-        offer = Bequest("a", 4, "orders", 3.5, (ENTRY,))
+        offer = LedgerSnapshot("a", 4, "orders", 3.5, (ENTRY,))
         answer = HomeAnswer(
             "a", 5, "orders", 9, homes, 7, True, False, 1.5, (ENTRY,), offer
         )
         assert read_home_answer(write_home_answer(answer, STAMP)) == answer
 
     def test_bequest(self) -> None:
-        bequest = Bequest("a", 5, "orders", 3.5, (ENTRY,))
+        bequest = LedgerSnapshot("a", 5, "orders", 3.5, (ENTRY,))
         assert read_bequest(write_bequest(bequest, STAMP)) == bequest
 
 
