--- a/mintsaddle/cli/_texts.py
+++ b/mintsaddle/cli/_texts.py
@@ -88,7 +88,7 @@
     rows = tuple(
         (
             placement.situation,
-            placement.places,
+            placement.capacity,
             " ".join(placement.endpoints) or "(none: every call is refused)",
             " ".join(placement.missing),
         )
--- a/mintsaddle/fleet/__init__.py
+++ b/mintsaddle/fleet/__init__.py
@@ -1,4 +1,7 @@
-"""The fleet text and the marks: parsed, checked, compared and explained."""
+"""Fleet texts and marks: parsing, checks, comparison and explanation.
+
+A fleet text is the INI text that configures the whole fleet.
+"""
 
 from mintsaddle.fleet._explain import explain_service
 from mintsaddle.fleet._homes import OrderHomes, find_home, list_homes
--- a/mintsaddle/fleet/_homes.py
+++ b/mintsaddle/fleet/_homes.py
@@ -1,4 +1,4 @@
-"""Homes of orders: which endpoint alone may run a brought key."""
+"""Homes of orders: the one endpoint that may run a caller-supplied key."""
 
 from typing import NamedTuple
 
@@ -7,20 +7,20 @@
 
 
 class OrderHomes(NamedTuple):
-    """The list of homes that a fleet text gives to one service."""
+    """Homes that a fleet text assigns to one service."""
 
     homes: tuple[str, ...]
-    """Endpoints over which keys are spread, sorted."""
+    """Endpoints over which keys are distributed, sorted."""
 
     to_ask: frozenset[str]
-    """Present and former homes that must agree before a key may move."""
+    """Present and former homes that must agree before a key moves."""
 
     some_gone: bool = False
-    """Whether a former home is gone and can tell nothing."""
+    """Whether a former home is gone and can't be asked."""
 
 
 def list_homes(service: Service) -> OrderHomes:
-    """Return the homes of a service and those who must agree to them."""
+    """Return the homes of a service and the endpoints that must agree."""
     present = frozenset(service.endpoints)
     former = frozenset(service.former) - frozenset(service.gone)
     homes = tuple(sorted(present))
@@ -28,9 +28,9 @@
 
 
 def find_home(homes: tuple[str, ...], key: str) -> str:
-    """Return the one home of a brought key.
+    """Return the home of a caller-supplied key.
 
-    Over the homes as the text lists them, never over who is alive: each entry,
-    however stale or cut off, names the same home or none.
+    The choice depends on the list in the fleet text only, never on which homes
+    are alive, so that stale or partitioned entries don't choose another one.
     """
     return rank_by_score(key, homes)[0]
--- a/mintsaddle/fleet/_marks.py
+++ b/mintsaddle/fleet/_marks.py
@@ -1,4 +1,4 @@
-"""The marks: data centres and VMs that operators take out and bring in."""
+"""Marks: data centres and VMs that operators take out of service."""
 
 from typing import NamedTuple
 
@@ -15,7 +15,7 @@
 
 
 class Marks(NamedTuple):
-    """What is marked out at present."""
+    """Data centres and VMs that are marked out."""
 
     data_centres: frozenset[str]
     vms: frozenset[str]
@@ -26,14 +26,14 @@
 
 
 NO_MARKS = Marks(frozenset(), frozenset())
-"""Everything is in."""
+"""Marks with everything in service."""
 
 
 def read_marks(source: str, text: str) -> Result[Marks, Findings]:
-    """Return the marks that a text holds, or everything wrong with it.
+    """Return the marks in an INI text, or all findings.
 
-    A name that the fleet text doesn't list is no finding: marks and text are
-    published apart, and either may arrive first.
+    A name that the fleet text doesn't list is not a finding: marks and fleet
+    text are published separately, and either may arrive first.
     """
     document = read_document(source, text)
     findings = list(document.findings)
@@ -41,7 +41,7 @@
     vms: set[str] = set()
     for section in document.sections:
         if section.name != _SECTION:
-            problem = f"is no known section; write [{_SECTION}]"
+            problem = f"is not a known section; use [{_SECTION}]"
             findings.append(Finding(source, section.line, section.name, "", problem))
             continue
         _read_section(source, section, data_centres, vms, findings)
@@ -65,7 +65,7 @@
         elif key.startswith(_VM):
             names = vms
         else:
-            fields.report(key, "write 'data centre NAME' or 'vm NAME'")
+            fields.report(key, "is unknown; use 'data centre NAME' or 'vm NAME'")
             continue
         if state == "out":
             names.add(key.split()[-1])
--- a/mintsaddle/fleet/_model.py
+++ b/mintsaddle/fleet/_model.py
@@ -1,4 +1,7 @@
-"""The typed values that a fleet text holds."""
+"""Typed values of a fleet text.
+
+Operators see the field names when they compare two fleet texts.
+"""
 
 import enum
 from collections.abc import Mapping
@@ -8,7 +11,7 @@
 
 
 class ServiceKind(enum.Enum):
-    """What stands behind a service."""
+    """Kind of back end of a service."""
 
     ENGINE = "engine"
     """A model engine: it batches, warms up and caches prefixes."""
@@ -18,7 +21,7 @@
 
 
 class DataCentre(NamedTuple):
-    """A place that can be marked out as a whole."""
+    """A data centre, which can be marked out as a whole."""
 
     name: str
     region: str
@@ -43,54 +46,54 @@
 
 
 class Service(NamedTuple):
-    """One service that callers name in the path."""
+    """A service, which callers name in the request path."""
 
     name: str
     kind: ServiceKind
     work_class: str
-    """Groups histograms, such as ``letter`` or ``order``."""
+    """Label that groups histograms, such as ``letter`` or ``order``."""
 
     repeatable: bool
-    """Whether a call may run twice; if not, calls are orders with a key."""
+    """Whether calls may run twice; otherwise they are orders with a key."""
 
     endpoints: tuple[str, ...]
     depends_on: tuple[str, ...]
     cold_limit: int
-    """Requests that an engine may hold right after its start."""
+    """Concurrent requests that an engine accepts right after its start."""
 
     limit: int
-    """Requests that a warm engine may hold."""
+    """Concurrent requests that a warm engine accepts."""
 
     growth: float
-    """Places gained with each answer within target since its start."""
+    """Increase of the limit for each answer within target since the start."""
 
     target: float
-    """Seconds within which a first token counts as good."""
+    """Target time to first token, in seconds."""
 
     longest: float
-    """Seconds given to a call whose caller names no deadline."""
+    """Default deadline of a call, in seconds."""
 
     longest_queue: float
-    """Seconds that a request may wait at an endpoint for a place."""
+    """Maximum queueing time of a request at an endpoint, in seconds."""
 
     resumable: bool
-    """Whether the engine can go on after a given chunk."""
+    """Whether the engine can resume a stream after a given chunk."""
 
     checks_fencing: bool
-    """Whether the engine refuses an order with an old fencing number."""
+    """Whether the engine refuses an order with an outdated fencing token."""
 
     former: tuple[str, ...]
-    """Endpoints that were homes in earlier texts and may still run."""
+    """Endpoints that were homes in earlier texts and may still run orders."""
 
     gone: tuple[str, ...]
     """Former homes that are destroyed for good and need not be asked."""
 
     bootstrap: Instant
-    """Homes started before it know nothing; 0 when never declared."""
+    """Homes started before it may agree with none anchored; 0 if unset."""
 
 
 class Workspace(NamedTuple):
-    """A caller's account: what it may call and its share under load."""
+    """A tenant: the services that it may call and its share under load."""
 
     name: str
     share: float
@@ -98,41 +101,41 @@
 
 
 class Group(NamedTuple):
-    """A rank group that runs in lock-step on one expert map."""
+    """A rank group that runs in lockstep on one expert map."""
 
     name: str
     ranks: tuple[str, ...]
     """Endpoints in the order of their ranks."""
 
     experts: int
-    """Experts in a layer."""
+    """Experts per layer."""
 
     layers: int
     slots: int
-    """Expert slots of each rank in each layer."""
+    """Expert slots per rank and layer."""
 
     interval: float
-    """Seconds between two plans."""
+    """Time between two planning runs, in seconds."""
 
     step: float
-    """Seconds of one step."""
+    """Duration of one step, in seconds."""
 
     pause: float
-    """Seconds for which a switch holds the group."""
+    """Time for which a map switch pauses the group, in seconds."""
 
     weight: float
-    """Seconds by which the loading of one expert's weights slows the group."""
+    """Delay of the group while one expert's weights are loaded, in seconds."""
 
 
 class Fleet(NamedTuple):
-    """A whole fleet text that has passed its check."""
+    """A complete and checked fleet text."""
 
     name: str
     clock_bound: float
-    """The largest difference between two clocks of the fleet, in seconds."""
+    """Maximum difference between two clocks of the fleet, in seconds."""
 
     ledger_window: float
-    """Seconds for which a home remembers an order."""
+    """Time for which a home keeps an order in its ledger, in seconds."""
 
     data_centres: Mapping[str, DataCentre]
     entries: Mapping[str, EntryVm]
@@ -142,14 +145,14 @@
     groups: Mapping[str, Group]
 
     def address_of(self, vm: str) -> str | None:
-        """Return where a VM's daemon is reached, if the text lists it."""
-        place = self.entries.get(vm) or self.endpoints.get(vm)
-        return place.address if place else None
+        """Return the address of a VM's daemon, or None if it isn't listed."""
+        vm_section = self.entries.get(vm) or self.endpoints.get(vm)
+        return vm_section.address if vm_section else None
 
     def data_centre_of(self, vm: str) -> str | None:
-        """Return the data centre of a VM, if the text lists it."""
-        place = self.entries.get(vm) or self.endpoints.get(vm)
-        return place.data_centre if place else None
+        """Return the data centre of a VM, or None if it isn't listed."""
+        vm_section = self.entries.get(vm) or self.endpoints.get(vm)
+        return vm_section.data_centre if vm_section else None
 
     def services_of(self, endpoint: str) -> tuple[Service, ...]:
         """Return the services that an endpoint serves."""
--- a/mintsaddle/fleet/_plan.py
+++ b/mintsaddle/fleet/_plan.py
@@ -1,4 +1,4 @@
-"""What a new fleet text would change, told before it is published."""
+"""Comparison of a new fleet text with the published one."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple, Protocol
@@ -10,26 +10,26 @@
 
 
 class _Section(Protocol):
-    """Any value that stands for a section: each is a `NamedTuple`."""
+    """A `NamedTuple` that represents a section."""
 
     def _asdict(self) -> dict[str, Any]: ...
 
 
 class Change(NamedTuple):
-    """One thing that a new text changes."""
+    """One change between two fleet texts."""
 
     subject: str
-    """The section that it concerns."""
+    """The affected section."""
 
     text: str
-    """What changes, and what an operator should know."""
+    """Description of the change for the operator."""
 
     unsafe: bool
-    """Whether it should not be published as it stands."""
+    """Whether a text with this change should not be published."""
 
 
 def plan_change(old: Fleet, new: Fleet) -> tuple[Change, ...]:
-    """Return what differs between two fleet texts, unsafe changes first."""
+    """Return the changes between two fleet texts, unsafe ones first."""
     changes = [
         *_compare_names("data centre", old.data_centres, new.data_centres),
         *_compare_names("entry", old.entries, new.entries),
@@ -61,11 +61,13 @@
     parts = []
     for field, value in before.items():
         if after[field] != value:
-            parts.append(f"{field}: {_show(value)} -> {_show(after[field])}")
+            parts.append(
+                f"{field}: {_format_value(value)} -> {_format_value(after[field])}"
+            )
     return "; ".join(parts)
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, tuple):
         return " ".join(value) or "(none)"
     return str(value)
@@ -78,12 +80,12 @@
         yield Change(subject, problem, True)
     if old.repeatable or new.repeatable:
         return
-    named = {*new.endpoints, *new.former, *new.gone}
-    forgotten = sorted({*old.endpoints, *old.former} - named - set(old.gone))
-    if forgotten:
-        names = " ".join(forgotten)
+    listed = {*new.endpoints, *new.former, *new.gone}
+    omitted = sorted({*old.endpoints, *old.former} - listed - set(old.gone))
+    if omitted:
+        names = " ".join(omitted)
         problem = (
-            f"{names} may still run orders: name each under 'former endpoints',"
+            f"{names} may still run orders: list each under 'former endpoints',"
             " or under 'gone endpoints' once it is destroyed"
         )
         yield Change(subject, problem, True)
@@ -91,8 +93,8 @@
     if moved:
         share = 100 * moved / _SAMPLE_KEYS
         text = (
-            f"{share:.1f}% of brought keys get another home; they answer ask-again"
-            " until every home has agreed to the new list"
+            f"{share:.1f}% of caller-supplied keys get another home; they are"
+            " answered ask-again until every home has agreed to the new list"
         )
         yield Change(subject, text, False)
 
--- a/mintsaddle/fleet/tests/test_read.py
+++ b/mintsaddle/fleet/tests/test_read.py
@@ -1,4 +1,4 @@
-"""Reading, checking, comparing and explaining fleet texts."""
+"""Tests of parsing, checking, comparing and explaining fleet texts."""
 
 import pytest
 from hypothesis import given
@@ -73,11 +73,11 @@
                 25,
                 "more than once",
             ),
-            ("2026-12-03T08:00:00Z", "2026-12-03", 26, "no date with a zone"),
+            ("2026-12-03T08:00:00Z", "2026-12-03", 26, "not a date with a time zone"),
             ("share = 3", "share = nan", 29, "is not within"),
             ("services = redirections", "services = x", 30, "add [service x]"),
-            ("[workspace odense]", "[workspace a b]", 28, "a name of one word"),
-            ("[workspace odense]", "[tenant odense]", 28, "no known section"),
+            ("[workspace odense]", "[workspace a b]", 28, "a single-word name"),
+            ("[workspace odense]", "[tenant odense]", 28, "not a known section"),
             ("kind = plain", "depends on = redirections", 23, "depends on itself"),
             ("kind = plain", "cold limit = 9\nlimit = 4", 23, "not within 1 and 4"),
         ],
@@ -99,7 +99,7 @@
     def test_text_over_a_megabyte_is_refused(self) -> None:
         result = read_fleet("fleet", GOOD + "#" * 1_100_000)
         assert isinstance(result, Failure)
-        assert "the platform holds no more" in result.failure()[0].problem
+        assert "the platform stores no more" in result.failure()[0].problem
 
     @given(st.text(alphabet="[]=: \nabcfleet;#%\x00é", max_size=60))
     def test_any_text_gives_a_fleet_or_findings(self, text: str) -> None:
