--- a/mintsaddle/direct/_follow.py
+++ b/mintsaddle/direct/_follow.py
@@ -38,7 +38,7 @@
             _Follower(gateway).run()
         except Exception:
             _log.exception("Following failed.")
-            threading.Event().wait(gateway.settings.news_within * RETRY_SHARE)
+            threading.Event().wait(gateway.settings.propagation_time * RETRY_SHARE)
 
 
 class _Follower:
@@ -98,7 +98,7 @@
                 )
                 if answer.items:
                     threading.Event().wait(
-                        gateway.settings.news_within * COALESCE_SHARE
+                        gateway.settings.propagation_time * COALESCE_SHARE
                     )
             case Failure(StoreProblem.HISTORY_GONE):
                 self._polling.record_history_gone()
@@ -108,7 +108,7 @@
                 gateway.metrics.count(f"store_{problem.value}")
                 self._polling.record_gap()
                 self._record_lost(problem)
-                pause = gateway.settings.news_within * RETRY_SHARE
+                pause = gateway.settings.propagation_time * RETRY_SHARE
                 threading.Event().wait(pause * (0.5 + gateway.rng.random()))
 
     def _ask(
@@ -118,7 +118,7 @@
         if is_reading:
             may_be_old = is_first and self._may_start_old
             return self._client.read_all(prefix, may_be_old=may_be_old)
-        wait = self._gateway.settings.news_within * WATCH_SHARE
+        wait = self._gateway.settings.propagation_time * WATCH_SHARE
         return self._client.watch(prefix, asked.revision, wait)
 
     def _confirmed_at(
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -187,7 +187,7 @@
             is_reader=self._is_reader,
             # A young entry still learns whom to follow.
             confirmed_at=max(self._replica.confirmed_at, self._settles_at),
-            bound=self._settings.news_within,
+            bound=self._settings.propagation_time,
             now=self.now(),
         )
 
--- a/mintsaddle/direct/_relay.py
+++ b/mintsaddle/direct/_relay.py
@@ -100,7 +100,7 @@
             StaleUpstreamError: It has confirmed nothing for too long.
             Exception: It doesn't answer; whatever grpclib raises.
         """
-        silent_seconds = self._gateway.settings.news_within * STALE_SHARE
+        silent_seconds = self._gateway.settings.propagation_time * STALE_SHARE
         async with stub.Follow.open() as stream:
             send = stream.send_message(hello, end=True)
             await asyncio.wait_for(send, ANSWER_SECONDS)
--- a/mintsaddle/platform/_settings.py
+++ b/mintsaddle/platform/_settings.py
@@ -77,7 +77,7 @@
         agent_port=int(ports[_AGENT_PLACE]) if len(ports) > _AGENT_PLACE else 0,
         store=platform.read_text("address"),
         stop_seconds=bounds.read_number("grace_s"),
-        news_within=min(bounds.read_number(name) for name in _NEWS_BOUNDS)
+        propagation_time=min(bounds.read_number(name) for name in _NEWS_BOUNDS)
         / MILLISECONDS,
         lease=_read_lease(values),
         retry_share=bounds.read_number("retry_budget_ratio"),
--- a/mintsaddle/settings/__init__.py
+++ b/mintsaddle/settings/__init__.py
@@ -1,4 +1,4 @@
-"""A daemon's settings: an INI file, checked as a whole."""
+"""Settings of a daemon, read from an INI file and validated."""
 
 from mintsaddle.settings._direct import DirectSettings
 from mintsaddle.settings._read import read_settings
--- a/mintsaddle/settings/_direct.py
+++ b/mintsaddle/settings/_direct.py
@@ -4,70 +4,70 @@
 
 
 class DirectSettings(NamedTuple):
-    """What an entry with direct delivery learns at its start."""
+    """Settings of an entry with direct delivery, read at its start."""
 
     vm: str
-    """Its name, unique among all VMs."""
+    """Name of the VM, unique among all VMs."""
 
     data_centre: str
     host: str
     """The VM's own IP."""
 
     callers: str
-    """IP and port for callers."""
+    """IP and port at which callers connect."""
 
     ready: str
     """IP and port for the balancer's readiness checks."""
 
     control: str
-    """IP and port at which peers reach it."""
+    """IP and port at which peers reach this entry."""
 
     metrics: str
-    """IP and port of the metrics page; an empty string switches it off."""
+    """IP and port of the metrics page; empty to disable it."""
 
     peers: tuple[str, ...]
     """Control addresses of a few peers; they may be stale or down."""
 
     agent_port: int
-    """Port of the rank agents on their VMs; 0: there are none."""
+    """Port of the rank agents on their VMs; 0 if there are none."""
 
     store: str
     """IP and port of the platform's store."""
 
     stop_seconds: float
-    """Seconds from SIGTERM to SIGKILL."""
+    """Time from SIGTERM to SIGKILL, in seconds."""
 
-    news_within: float
-    """Seconds from a change of what is published until entries act on it."""
+    propagation_time: float
+    """Maximum seconds from publishing a change until entries apply it."""
 
     lease: float
-    """Seconds of an endpoint's silence after which the platform drops it."""
+    """Seconds without contact until the platform drops an endpoint."""
 
     retry_share: float
-    """Retries allowed for each request, over all entries."""
+    """Retries allowed per request, over all entries."""
 
     retry_slack: float
-    """Retries allowed besides, in each window, over all entries."""
+    """Additional retries allowed per window, over all entries."""
 
     retry_window: float
-    """Seconds of that window."""
+    """Length of the retry window, in seconds."""
 
     cold_factor: float
-    """Times its cold rate that a cold endpoint bears in any second."""
+    """Multiple of its cold rate that a cold endpoint accepts in any second."""
 
     cold_slack: float
-    """Requests that a cold endpoint bears besides in any second."""
+    """Additional requests that a cold endpoint accepts in any second."""
 
     stall: float
-    """Seconds for which work that depends on a dead rank stalls."""
+    """Time for which work that depends on a dead rank stalls, in seconds."""
 
     first_start: bool
     """Whether the whole system starts for the first time."""
 
     memory_megabytes: float
-    """Memory that this process may use."""
+    """Memory limit of this process, in megabytes."""
 
     descriptors: float
-    """Descriptors that this process may open."""
+    """Maximum number of file descriptors of this process."""
 
     log_level: str = "INFO"
--- a/mintsaddle/settings/_read.py
+++ b/mintsaddle/settings/_read.py
@@ -1,4 +1,4 @@
-"""Reading a daemon's settings; all findings are reported together."""
+"""Parsing of a daemon's settings; all findings are reported together."""
 
 import logging
 
@@ -9,29 +9,29 @@
 from mintsaddle.values import Finding, Findings
 
 _SECTION = "daemon"
-_MOST_THREADS = 4_096
+_MAX_THREADS = 4_096
 
 
 def read_settings(source: str, text: str) -> Result[Settings, Findings]:
-    """Return the settings in an INI text, or everything wrong with it.
+    """Return the settings in an INI text, or all findings.
 
     Args:
-        source: Name of the file, for the findings.
-        text: Its content.
+        source: Name of the file, used in findings.
+        text: Content of the file.
     """
     document = read_document(source, text)
     findings = list(document.findings)
-    found = None
+    daemon_section = None
     for section in document.sections:
         if section.name == _SECTION:
-            found = section
+            daemon_section = section
             continue
-        problem = f"is no known section; the only one is [{_SECTION}]"
+        problem = f"is not a known section; the only one is [{_SECTION}]"
         findings.append(Finding(source, section.line, section.name, "", problem))
-    if found is None:
+    if daemon_section is None:
         findings.append(Finding(source, 0, _SECTION, "", "is missing; add it"))
         return Failure(tuple(findings))
-    settings = _read_daemon(source, found, findings)
+    settings = _read_daemon(source, daemon_section, findings)
     if findings:
         return Failure(tuple(sorted(findings, key=lambda finding: finding.line)))
     return Success(settings)
@@ -49,7 +49,7 @@
         platform=fields.read_address("platform"),
         peers=fields.read_names("peers"),
         http=fields.read_address("http", None if is_entry else ""),
-        threads=fields.read_integer("threads", 1, _MOST_THREADS, 64),
+        threads=fields.read_integer("threads", 1, _MAX_THREADS, 64),
         engine=fields.read_address("engine", "" if is_entry else None),
         grace=fields.read_number("grace", 0.0, 60.0, 2.0),
         log_level=fields.read_choice(
@@ -59,8 +59,8 @@
     for peer in settings.peers:
         fields.check_address("peers", peer)
     if is_entry and settings.engine:
-        fields.report("engine", "belongs to an endpoint; this daemon is an entry")
+        fields.report("engine", "applies only to an endpoint; this daemon is an entry")
     if not is_entry and settings.http:
-        fields.report("http", "belongs to an entry; this daemon is an endpoint")
+        fields.report("http", "applies only to an entry; this daemon is an endpoint")
     fields.report_unknown()
     return settings
--- a/mintsaddle/settings/_settings.py
+++ b/mintsaddle/settings/_settings.py
@@ -5,39 +5,39 @@
 
 
 class Role(enum.Enum):
-    """What a daemon does."""
+    """Role of a daemon."""
 
     ENTRY = "entry"
     ENDPOINT = "endpoint"
 
 
 class Settings(NamedTuple):
-    """What a daemon learns from its settings file."""
+    """Settings of a daemon from its settings file."""
 
     vm: str
-    """Its name in the fleet text."""
+    """Name of the VM in the fleet text."""
 
     data_centre: str
     role: Role
     address: str
-    """IP and port at which other daemons reach it."""
+    """IP and port at which other daemons reach this one."""
 
     platform: str
     """IP and port of the platform's configuration service."""
 
     peers: tuple[str, ...]
-    """Daemons to ask at the start, as IP and port, when no text is known."""
+    """IP and port of daemons to ask for the fleet text at the start."""
 
     http: str
     """IP and port for callers; entries only."""
 
     threads: int
-    """Callers served at one time; entries only."""
+    """Maximum number of callers served concurrently; entries only."""
 
     engine: str
     """IP and port of the engine; endpoints only."""
 
     grace: float
-    """Seconds for which a leaving entry still serves new callers."""
+    """Time for which a leaving entry still accepts new callers, in seconds."""
 
     log_level: str
--- a/mintsaddle/settings/tests/test_read.py
+++ b/mintsaddle/settings/tests/test_read.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon."""
+"""Tests of the settings of a daemon."""
 
 import pytest
 from returns.result import Failure
@@ -31,7 +31,7 @@
                 "http = 10.0.0.1:8080",
                 "engine = 10.0.0.1:1",
                 7,
-                "belongs to an endpoint",
+                "applies only to an endpoint",
             ),
             ("http =", "threads = 0\nhttp =", 7, "not within 1"),
             ("[daemon]", "[demon]", 1, "the only one is [daemon]"),
