--- a/mintsaddle/ini/__init__.py
+++ b/mintsaddle/ini/__init__.py
@@ -1,4 +1,4 @@
-"""INI texts read with the place of every key, so that findings can name it."""
+"""INI parser that keeps line numbers, so that findings can report them."""
 
 from mintsaddle.ini._document import Document, Section, read_document
 from mintsaddle.ini._fields import FieldReader
--- a/mintsaddle/ini/_document.py
+++ b/mintsaddle/ini/_document.py
@@ -1,7 +1,8 @@
-"""Reading an INI text into sections that remember their lines.
+"""Parsing of an INI text into sections with line numbers.
 
-``configparser`` does the parsing. It forgets line numbers and stops at the
-first duplicate, so a second pass with its own patterns notes the places.
+``configparser`` parses the text. It discards line numbers and, if strict,
+stops at the first duplicate, so a second pass with the same patterns records
+the lines and reports the duplicates.
 """
 
 import configparser
@@ -13,43 +14,43 @@
 
 
 class Section(NamedTuple):
-    """One section of an INI text."""
+    """A section of an INI text."""
 
     name: str
     """The text between the brackets."""
 
     line: int
-    """Line of the header, from 1."""
+    """Line number of the header, from 1."""
 
     values: dict[str, str]
-    """Value of each key; keys are lower case."""
+    """Value of each key; keys are lowercase."""
 
     lines: dict[str, int]
-    """Line of each key, from 1."""
+    """Line number of each key, from 1."""
 
 
 class Document(NamedTuple):
-    """An INI text with its places."""
+    """A parsed INI text."""
 
     source: str
     """Name of the file or published value."""
 
     sections: tuple[Section, ...]
-    """The sections in their order."""
+    """Sections in the order of the text."""
 
     findings: Findings
-    """What could not be read."""
+    """Syntax errors and duplicates."""
 
 
-class _Places(NamedTuple):
+class _Locations(NamedTuple):
     headers: dict[str, int]
     keys: dict[tuple[str, str], int]
     findings: list[Finding]
 
 
 def read_document(source: str, text: str) -> Document:
-    """Return the sections of an INI text and everything unreadable in it."""
-    places = _find_places(source, text)
+    """Return the sections, syntax errors and duplicates of an INI text."""
+    locations = _find_locations(source, text)
     parser = configparser.ConfigParser(
         interpolation=None,
         strict=False,
@@ -60,27 +61,27 @@
         parser.read_string(text, source)
     except configparser.MissingSectionHeaderError as error:
         problem = "text before the first [section]"
-        places.findings.append(Finding(source, error.lineno, "", "", problem))
-        return Document(source, (), tuple(places.findings))
+        locations.findings.append(Finding(source, error.lineno, "", "", problem))
+        return Document(source, (), tuple(locations.findings))
     except configparser.ParsingError as error:
         for line, content in error.errors:
             problem = f"{content} is neither a [section] nor 'key = value'"
-            places.findings.append(Finding(source, line, "", "", problem))
-        return Document(source, (), tuple(places.findings))
+            locations.findings.append(Finding(source, line, "", "", problem))
+        return Document(source, (), tuple(locations.findings))
     sections = tuple(
         Section(
             name,
-            places.headers.get(name, 0),
+            locations.headers.get(name, 0),
             dict(parser.items(name)),
-            {key: places.keys.get((name, key), 0) for key in parser.options(name)},
+            {key: locations.keys.get((name, key), 0) for key in parser.options(name)},
         )
         for name in parser.sections()
     )
-    return Document(source, sections, tuple(places.findings))
+    return Document(source, sections, tuple(locations.findings))
 
 
-def _find_places(source: str, text: str) -> _Places:
-    places = _Places({}, {}, [])
+def _find_locations(source: str, text: str) -> _Locations:
+    locations = _Locations({}, {}, [])
     section = ""
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip() or line[0].isspace() or line.startswith(_COMMENTS):
@@ -88,26 +89,26 @@
         header = configparser.ConfigParser.SECTCRE.match(line)
         if header:
             section = header.group("header")
-            _record_header(places, source, section, number)
+            _record_header(locations, source, section, number)
             continue
         option = configparser.ConfigParser.OPTCRE.match(line)
         if option:
             key = option.group("option").strip().lower()
-            _record_key(places, source, section, key, number)
-    return places
+            _record_key(locations, source, section, key, number)
+    return locations
 
 
-def _record_header(places: _Places, source: str, section: str, line: int) -> None:
-    first = places.headers.setdefault(section, line)
+def _record_header(locations: _Locations, source: str, section: str, line: int) -> None:
+    first = locations.headers.setdefault(section, line)
     if first != line:
-        problem = f"the section stands already at line {first}; join the two"
-        places.findings.append(Finding(source, line, section, "", problem))
+        problem = f"the section is already at line {first}; merge the two"
+        locations.findings.append(Finding(source, line, section, "", problem))
 
 
 def _record_key(
-    places: _Places, source: str, section: str, key: str, line: int
+    locations: _Locations, source: str, section: str, key: str, line: int
 ) -> None:
-    first = places.keys.setdefault((section, key), line)
+    first = locations.keys.setdefault((section, key), line)
     if first != line:
-        problem = f"the key stands already at line {first}; keep one"
-        places.findings.append(Finding(source, line, section, key, problem))
+        problem = f"the key is already at line {first}; keep one"
+        locations.findings.append(Finding(source, line, section, key, problem))
--- a/mintsaddle/ini/tests/test_document.py
+++ b/mintsaddle/ini/tests/test_document.py
@@ -1,4 +1,4 @@
-"""INI texts and their places."""
+"""Tests of the INI parser and its line numbers."""
 
 import pytest
 
