--- a/mintsaddle/direct/_follow.py
+++ b/mintsaddle/direct/_follow.py
@@ -39,7 +39,7 @@
         except Exception:
             _log.exception("Following failed.")
             threading.Event().wait(
-                gateway.settings.news_within * RETRY_INTERVAL_FRACTION
+                gateway.settings.propagation_time * RETRY_INTERVAL_FRACTION
             )
 
 
@@ -100,7 +100,7 @@
                 )
                 if answer.items:
                     threading.Event().wait(
-                        gateway.settings.news_within * CALL_INTERVAL_FRACTION
+                        gateway.settings.propagation_time * CALL_INTERVAL_FRACTION
                     )
             case Failure(StoreProblem.HISTORY_GONE):
                 self._polling.record_history_gone()
@@ -110,7 +110,7 @@
                 gateway.metrics.count(f"store_{problem.value}")
                 self._polling.record_gap()
                 self._record_lost(problem)
-                pause = gateway.settings.news_within * RETRY_INTERVAL_FRACTION
+                pause = gateway.settings.propagation_time * RETRY_INTERVAL_FRACTION
                 threading.Event().wait(pause * (0.5 + gateway.rng.random()))
 
     def _ask(
@@ -120,7 +120,7 @@
         if is_reading:
             may_be_old = is_first and self._may_start_old
             return self._client.read_all(prefix, may_be_old=may_be_old)
-        wait = self._gateway.settings.news_within * WATCH_WAIT_FRACTION
+        wait = self._gateway.settings.propagation_time * WATCH_WAIT_FRACTION
         return self._client.watch(prefix, asked.revision, wait)
 
     def _confirmed_at(
