--- a/mintsaddle/direct/_agents.py
+++ b/mintsaddle/direct/_agents.py
@@ -1,4 +1,4 @@
-"""Asking rank agents, many at a time, by datagrams."""
+"""Datagram client for calls to many rank agents at once."""
 
 import itertools
 import select
@@ -19,44 +19,44 @@
 )
 from mintsaddle.values import Instant
 
-REPLY_SECONDS = 0.1
-"""Seconds for an agent's reply: 3 ms is usual, and an agent waits for its
-engine twice at most, for 40 ms each. A rank whose agent is silent is asked
-over the network instead."""
+REPLY_TIMEOUT_SECONDS = 0.1
+"""Seconds to wait for an agent's reply. It usually takes 3 ms, and an agent
+waits for its engine at most twice, 40 ms each. If the agent is silent, the
+rank is called over the network instead."""
 
 _LARGEST_DATAGRAM = 65_535
 _log = make_logger("agents")
 
 
-REST_SECONDS = 1.0
-"""Seconds for which a silent agent isn't asked: each time costs its reply's
-time."""
+SILENT_BACKOFF_SECONDS = 1.0
+"""Seconds for which no requests go to a silent agent, since each one costs the
+whole reply timeout."""
 
-MOST_MISSES = 2
-"""Replies missing in a row after which an agent counts as silent: a datagram
-may be lost."""
+MAX_MISSED_REPLIES = 2
+"""Consecutive missing replies after which an agent counts as silent. More than
+one, because a datagram may be lost."""
 
 
 class SilentAgents:
-    """Which agents, by their engines' addresses, aren't asked for a while."""
+    """Tracks silent agents by engine address, so that callers skip them."""
 
     def __init__(self, now: Callable[[], Instant]) -> None:
         self._now = now
-        self._misses: Counter[str] = Counter()
-        self._rests_until: dict[str, Instant] = {}
+        self._missed_replies: Counter[str] = Counter()
+        self._backoff_until: dict[str, Instant] = {}
 
-    def is_asked(self, engine: str) -> bool:
-        """Return whether the agent beside an engine may be asked."""
-        return self._now() >= self._rests_until.get(engine, 0.0)
+    def may_ask(self, engine: str) -> bool:
+        """Return whether to send requests to the agent on an engine's VM."""
+        return self._now() >= self._backoff_until.get(engine, 0.0)
 
-    def record_reply(self, engine: str, *, came: bool) -> None:
-        """Record whether the agent beside an engine has replied in time."""
-        if came:
-            self._misses.pop(engine, None)
+    def record_reply(self, engine: str, *, received: bool) -> None:
+        """Record whether the agent on an engine's VM replied in time."""
+        if received:
+            self._missed_replies.pop(engine, None)
             return
-        self._misses[engine] += 1
-        if self._misses[engine] >= MOST_MISSES:
-            self._rests_until[engine] = self._now() + REST_SECONDS
+        self._missed_replies[engine] += 1
+        if self._missed_replies[engine] >= MAX_MISSED_REPLIES:
+            self._backoff_until[engine] = self._now() + SILENT_BACKOFF_SECONDS
 
 
 def agent_address(engine: str, port: int) -> str:
@@ -65,17 +65,17 @@
     return f"{host}:{port}"
 
 
-class AgentLink:
-    """One socket towards all agents; used by one thread."""
+class AgentClient:
+    """Client with one socket for all agents; for use by one thread only."""
 
-    def __init__(self, host: str, reply_seconds: float = REPLY_SECONDS) -> None:
+    def __init__(self, host: str, reply_timeout: float = REPLY_TIMEOUT_SECONDS) -> None:
         """Open the socket.
 
         Args:
             host: The VM's own IP, to which agents reply.
-            reply_seconds: How long replies are waited for.
+            reply_timeout: Seconds to wait for replies.
         """
-        self._reply_seconds = reply_seconds
+        self._reply_timeout = reply_timeout
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((host, 0))
         self._socket.setblocking(False)
@@ -87,19 +87,19 @@
         """Return the answers of the engines whose agents reply in time.
 
         Args:
-            calls: For each agent's IP and port the calls to its engine.
+            calls: Calls to each agent's engine, by the agent's IP and port.
         """
         waiting = {next(self._numbers): address for address in calls}
         for number, address in waiting.items():
             self._send(address, AgentRequest(number, tuple(calls[address])))
         answers: dict[str, tuple[RankAnswer, ...]] = {}
-        wait_until = time.monotonic() + self._reply_seconds
+        wait_until = time.monotonic() + self._reply_timeout
         while waiting:
             left = wait_until - time.monotonic()
             if left <= 0 or not select.select([self._socket], [], [], left)[0]:
                 break
             reply = self._receive()
-            # A reply to an earlier request comes too late to be of use.
+            # Late replies to earlier requests are ignored.
             address = waiting.pop(reply.number, "") if reply else ""
             if reply and len(reply.answers) == len(calls.get(address, ())):
                 answers[address] = reply.answers
@@ -110,12 +110,12 @@
         try:
             self._socket.sendto(encode_request(request), (host, int(port)))
         except OSError as error:
-            # Counts as an agent that is silent.
-            _log.info("Request not sent %s.", fields(agent=address, why=error))
+            # The missing reply then counts against the agent.
+            _log.info("Request to agent not sent %s.", fields(agent=address, why=error))
 
     def _receive(self) -> AgentReply | None:
         try:
             return decode_reply(self._socket.recv(_LARGEST_DATAGRAM))
         except (OSError, AgentMessageError) as error:
-            _log.info("Reply unreadable %s.", fields(why=error))
+            _log.info("Unreadable reply from agent %s.", fields(why=error))
             return None
--- a/mintsaddle/direct/_choice.py
+++ b/mintsaddle/direct/_choice.py
@@ -60,7 +60,7 @@
             return ranked
         with gateway.lock:
             now = gateway.now()
-            ranked, slow = prefer_quick_groups(call, ranked, gateway.paces, now)
+            ranked, slow = prefer_quick_groups(call, ranked, gateway.step_times, now)
         ranked = group_leaders_first(ranked)
         loads = _probe_loads(gateway, ranked, slow)
         admitted = _admit(gateway, call, ranked, loads)
@@ -107,11 +107,11 @@
             call,
             ranked[:MAX_PROBES],
             loads,
-            gateway.paces,
+            gateway.step_times,
             gateway.now(),
             gateway.rng,
             service.steps if service else None,
-            gateway.share_of(ranked),
+            gateway.entry_share(ranked),
         )
 
 
@@ -126,7 +126,7 @@
     groups = {one.place.group for one in admitted if one.place is not None}
     with gateway.lock:
         now = gateway.now()
-        steps = {group: gateway.paces.step_seconds(group, now) for group in groups}
+        steps = {group: gateway.step_times.step_seconds(group, now) for group in groups}
     endpoint = choose_by_load(admitted, requests, steps)
     if not gateway.limits.take_permit(endpoint.name):
         return None
@@ -204,8 +204,10 @@
                 continue
             group, now = one.place.group, gateway.now()
             is_busy = group in busy
-            gateway.paces.record(group, load.epoch, load.step, now, is_busy=is_busy)
-            if gateway.paces.is_stalled(group, now):
+            gateway.step_times.record(
+                group, load.epoch, load.step, now, is_busy=is_busy
+            )
+            if gateway.step_times.is_stalled(group, now):
                 gateway.record_stall(group, load.epoch, load.step)
 
 
@@ -260,7 +262,7 @@
     told = [one for one in endpoints if one.name in loads]
     groups = sorted({one.place.group for one in told if one.place is not None})
     with gateway.lock:
-        steps = [gateway.paces.step_seconds(group, now) for group in groups]
+        steps = [gateway.step_times.step_seconds(group, now) for group in groups]
     gateway.metrics.count("not_admitted")
     _log.info(
         "Not admitted %s.",
--- a/mintsaddle/direct/_follow.py
+++ b/mintsaddle/direct/_follow.py
@@ -89,7 +89,7 @@
                     )
                 if position is None:
                     return
-                gateway.take_items(
+                gateway.apply_items(
                     answer.items,
                     position,
                     is_complete=is_reading,
@@ -135,7 +135,7 @@
 
     def _record_regained(self) -> None:
         self._is_well = True
-        self._gateway.record_regained()
+        self._gateway.record_platform_recovered()
         position = self._gateway.replica.position
         _log.info("Platform regained %s.", describe_position(position))
 
@@ -143,4 +143,4 @@
         if self._is_well:
             _log.warning("Platform lost %s.", fields(why=problem.value))
         self._is_well = False
-        self._gateway.record_lost()
+        self._gateway.record_platform_lost()
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -1,4 +1,4 @@
-"""What the threads of one direct entry share."""
+"""State that the threads of one direct entry share."""
 
 import random
 import threading
@@ -35,27 +35,27 @@
 from mintsaddle.settings import DirectSettings
 from mintsaddle.values import Instant
 
-_LIKELY_ENTRIES = 8
-"""Entries assumed to share the retry budget until peers have told."""
+_ASSUMED_ENTRIES = 8
+"""Number of entries assumed to share limits until peers report more."""
 
 PLATFORM_SOURCE = "platform"
-"""Names the platform as the source of news; other sources are VMs."""
+"""Source of updates from the platform; all other sources are VMs."""
 
 _log = make_logger("directory")
 
 
 def describe_position(position: Position) -> str:
-    """Return a position as fields of a log line."""
+    """Return a position formatted as log fields."""
     return fields(position=position.revision, era=position.era)
 
 
 def map_duty(group: str) -> str:
-    """Return the name of the duty to manage a group's expert map."""
+    """Return the name of the duty of managing a group's expert map."""
     return f"maps {group}"
 
 
 class Gateway:
-    """Beliefs and the lock under which decisions change them."""
+    """Shared state of an entry, and the lock that guards it."""
 
     def __init__(self, settings: DirectSettings) -> None:
         self._settings = settings
@@ -64,21 +64,23 @@
         self._routing = RoutingState(
             settings.vm,
             settings.data_centre,
-            budget_cap=settings.retry_slack / _LIKELY_ENTRIES,
+            budget_cap=settings.retry_slack / _ASSUMED_ENTRIES,
             retry_share=settings.retry_share,
         )
         self._replica = Replica(PUBLISHED_PREFIX)
         self._directory = Directory()
         self._groups = GroupAvailability()
-        self._paces = GroupStepTimes()
+        self._step_times = GroupStepTimes()
         self._groups_changed = threading.Condition(self._lock)
         self._reach = Reach(
             settings.data_centre, self._lock, self.now, self._data_centres
         )
         self._reach.on_change(self._notify_waiting)
         self._deadlines = RouteDeadlines()
-        self._entries = _LIKELY_ENTRIES
-        self._cold_gate = ColdStartLimiter(settings.cold_factor, settings.cold_slack)
+        self._entry_count = _ASSUMED_ENTRIES
+        self._cold_start_limiter = ColdStartLimiter(
+            settings.cold_factor, settings.cold_slack
+        )
         self._limits = EndpointLimits(self._lock, self.now)
         self._pool = ConnectionPool(self.now)
         self._probe = LoadProbe(settings, self.now)
@@ -87,62 +89,62 @@
         self._is_platform_lost = False
         self._is_reader = False
         self._settles_at = self.now() + SETTLE_SECONDS
-        self._copy_listeners: list[Callable[[], None]] = []
-        self._kept: list[object] = []
+        self._replica_listeners: list[Callable[[], None]] = []
+        self._references: list[object] = []
 
     @property
     def settings(self) -> DirectSettings:
-        """What the settings file said at the start."""
+        """The current settings."""
         return self._settings
 
     @property
     def lock(self) -> threading.RLock:
-        """Held while a decision reads or changes shared state."""
+        """Lock that is held while a decision reads or changes shared state."""
         return self._lock
 
     @property
     def rng(self) -> random.Random:
-        """The source of randomness for decisions; use it under the lock."""
+        """Random number generator for decisions; requires the lock."""
         return self._rng
 
     @property
     def routing(self) -> RoutingState:
-        """Views of endpoints and the retry budget; use it under the lock."""
+        """Views of endpoints and the retry budget; requires the lock."""
         return self._routing
 
     @property
     def directory(self) -> Directory:
-        """What is believed of table, endpoints and data centres."""
+        """Known routing table, endpoints and data centres."""
         return self._directory
 
     @property
     def deadlines(self) -> RouteDeadlines:
-        """What callers of each route bring; use it under the lock."""
+        """Deadlines that callers of each route set; requires the lock."""
         return self._deadlines
 
     @property
     def groups(self) -> GroupAvailability:
-        """Which groups take no work; use it under the lock."""
+        """Availability of rank groups; requires the lock."""
         return self._groups
 
     @property
-    def paces(self) -> GroupStepTimes:
-        """How long the steps of groups take; use it under the lock."""
-        return self._paces
+    def step_times(self) -> GroupStepTimes:
+        """Step times of rank groups; requires the lock."""
+        return self._step_times
 
     @property
     def limits(self) -> EndpointLimits:
-        """Which endpoints limit their requests, and permits for them."""
+        """Request rate limits of endpoints, and permits for them."""
         return self._limits
 
     @property
     def reach(self) -> Reach:
-        """Which data centres this entry reaches."""
+        """Which data centres this entry can reach."""
         return self._reach
 
     @property
     def groups_changed(self) -> threading.Condition:
-        """Told when a group goes down or comes back; holds the lock."""
+        """Condition on the lock; notified when availability changes."""
         return self._groups_changed
 
     @property
@@ -157,104 +159,108 @@
 
     @property
     def probe(self) -> LoadProbe:
-        """Asks agents for loads of engines; use it without the lock."""
+        """Reads engine loads from agents; call it without holding the lock."""
         return self._probe
 
     @property
-    def knows_all(self) -> bool:
-        """Whether everything published has been read once."""
+    def is_initialized(self) -> bool:
+        """Whether a full snapshot and a routing table have been read."""
         return not self._replica.is_empty and self._directory.table is not None
 
     @property
     def leaving(self) -> bool:
-        """Whether this process was told to stop."""
+        """Whether this process has been told to stop."""
         return self._leaving
 
     @property
     def is_platform_lost(self) -> bool:
-        """Whether the platform gives this entry nothing at present."""
+        """Whether the entry currently gets no data from the platform."""
         return self._is_platform_lost
 
     @property
     def replica(self) -> Replica:
-        """The copy of what is published."""
+        """Replica of the published items."""
         return self._replica
 
     @property
     def must_poll(self) -> bool:
-        """Whether this entry has to ask the platform itself."""
+        """Whether this entry has to poll the platform itself."""
         return self._replica.is_empty or must_poll(
             is_reader=self._is_reader,
-            # A young entry still learns whom to follow.
+            # A new entry needs time to find a peer to follow.
             confirmed_at=max(self._replica.confirmed_at, self._settles_at),
             bound=self._settings.news_within,
             now=self.now(),
         )
 
     def now(self) -> Instant:
-        """Return the present instant.
+        """Return the current time.
 
-        The clock that also counts while the VM is suspended: by the steady
-        one, a request that was read before would seem to have time left. The
-        time of day isn't used: it may jump.
+        Uses the clock that keeps running while the VM is suspended. By the
+        monotonic clock, a request read before a suspension would seem to have
+        time left. The wall clock isn't used because it may jump.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def mark_leaving(self) -> None:
-        """Note that this process was told to stop."""
+        """Record that this process has been told to stop."""
         self._leaving = True
 
     def set_reader(self, is_reader: bool) -> None:
-        """Record whether this entry watches the platform for others."""
+        """Record whether this entry watches the platform for its peers."""
         if is_reader != self._is_reader:
             self._is_reader = is_reader
             _log.info("Reader changed %s.", fields(is_reader=is_reader))
 
-    def on_copy(self, listener: Callable[[], None]) -> None:
-        """Call a function whenever the copy has changed or was confirmed."""
-        self._copy_listeners.append(listener)
+    def on_replica_update(self, listener: Callable[[], None]) -> None:
+        """Register a callback for changes and confirmations of the replica."""
+        self._replica_listeners.append(listener)
 
     def expect_lapses(self, until: Instant) -> None:
-        """Record until when removals may stem from an outage."""
+        """Record until when removals may result from an outage."""
         with self._lock:
             self._replica.expect_lapses(until)
 
-    def record_lost(self) -> None:
-        """Note that the platform gives nothing."""
+    def record_platform_lost(self) -> None:
+        """Record that no data comes from the platform."""
         with self._lock:
             self._is_platform_lost = True
 
-    def record_regained(self) -> None:
-        """Note that the platform gives something again.
+    def record_platform_recovered(self) -> None:
+        """Record that data comes from the platform again.
 
-        Announcements that lapsed in the meantime get their grace from here:
-        they are taken over with the answer that follows.
+        The grace period for announcements that expired during the outage
+        starts here, because the next response applies their removal.
         """
         with self._lock:
             self._is_platform_lost = False
             self._replica.expect_lapses(self.now() + LAPSE_GRACE_SECONDS)
 
     def duties(self) -> set[str]:
-        """Return the names of the duties that some entry has to manage."""
+        """Return the names of all duties that the entries divide up."""
         places = (one.place for one in self._directory.endpoints.values())
         return {map_duty(place.group) for place in places if place is not None}
 
-    def set_entries(self, number: int) -> None:
-        """Note how many entries share limits; the larger number counts."""
+    def set_entry_count(self, number: int) -> None:
+        """Set how many entries share limits; at least the assumed number."""
         with self._lock:
-            share = self._settings.retry_slack / max(number, _LIKELY_ENTRIES)
+            share = self._settings.retry_slack / max(number, _ASSUMED_ENTRIES)
             self._routing.replace_budget_cap(share)
-            self._entries = max(number, _LIKELY_ENTRIES)
+            self._entry_count = max(number, _ASSUMED_ENTRIES)
 
-    def keep(self, *things: object) -> None:
-        """Hold what would otherwise be collected while it is in use."""
-        self._kept.extend(things)
+    def keep_references(self, *objects: object) -> None:
+        """Keep objects in use from being garbage-collected."""
+        self._references.extend(objects)
 
     def is_fresh(self, within: float) -> bool:
-        """Return whether the copy was complete a short time ago."""
+        """Return whether the replica was complete within the last seconds.
+
+        Args:
+            within: The number of seconds.
+        """
         return self.now() - self._replica.confirmed_at <= within
 
-    def take_items(
+    def apply_items(
         self,
         items: Sequence[PublishedItem],
         position: Position,
@@ -263,48 +269,51 @@
         confirmed_at: Instant,
         source: str,
     ) -> None:
-        """Take over published items and what follows from them.
+        """Apply published items to the replica and the state derived from it.
 
         Args:
-            items: What was read, changed or relayed.
-            position: Up to where nothing is missing then.
-            is_complete: Whether keys that aren't among the items are gone.
+            items: Items that were read, watched or relayed.
+            position: The point up to which the replica is complete then.
+            is_complete: Whether the items are a full snapshot, so that all
+                other keys have been removed.
             confirmed_at: When the items were known to be current.
-            source: Who told, for the log.
+            source: Where the items come from, for the log.
         """
         with self._lock:
             replica, before = self._replica, self._replica.position
             if not replica.accepts(position, is_complete=is_complete):
                 return
-            ours = [item for item in items if is_ours(item.key)]
-            older = replica.count_older(ours, position) if is_complete else 0
-            take = replica.replace if is_complete else replica.merge
-            changed = take(ours, position)
+            relevant = [item for item in items if is_ours(item.key)]
+            older = replica.count_older(relevant, position) if is_complete else 0
+            update = replica.replace if is_complete else replica.merge
+            changed = update(relevant, position)
             replica.confirm(confirmed_at)
             is_restored = position.era > before.era and before.revision > 0
             if is_restored:
                 self._record_restored(before, source)
             if is_complete:
                 _log.info(
-                    "Copy read %s.",
+                    "Snapshot read %s.",
                     fields(
                         position=position.revision,
                         era=position.era,
-                        items=len(ours),
+                        items=len(relevant),
                         changed=len(changed),
                         older=older,
                         source=source,
                     ),
                 )
             if changed:
-                self._apply(changed, source, self.now(), is_restored=is_restored)
-        for listener in self._copy_listeners:
+                self._apply_changes(
+                    changed, source, self.now(), is_restored=is_restored
+                )
+        for listener in self._replica_listeners:
             listener()
 
     def _record_restored(self, before: Position, source: str) -> None:
-        """Note that the store came back from an older copy; under the lock."""
+        """Record that the store was restored from a backup; under the lock."""
         if source == PLATFORM_SOURCE:
-            # A peer tells how much of the grace is left.
+            # A peer sends the rest of the grace period with its updates.
             self._replica.expect_lapses(self.now() + LAPSE_GRACE_SECONDS)
         self._metrics.count("store_restored")
         _log.warning(
@@ -318,26 +327,26 @@
             ),
         )
 
-    def record_moved(self, endpoint: str) -> None:
-        """Note that another run has an endpoint's address by now.
+    def record_replaced(self, endpoint: str) -> None:
+        """Record that another run has answered at an endpoint's address.
 
-        It gets nothing more unless it announces itself again.
+        The endpoint gets no requests until it announces itself again.
         """
         with self._lock:
-            facts = [EndpointReplaced(endpoint)]
-            self._directory = apply_updates(self._directory, facts, 0.0, self.now())
+            updates = [EndpointReplaced(endpoint)]
+            self._directory = apply_updates(self._directory, updates, 0.0, self.now())
             self._routing.forget(endpoint)
 
     def drop_expired(self) -> None:
-        """Believe the platform where it hasn't written again what it lost."""
+        """Apply changes from an outage or a restore whose grace has ended."""
         with self._lock:
             before = self._directory
             self._directory = drop_expired(before, self.now())
             if self._directory is not before:
-                self._log_beliefs("grace-over")
+                self._log_directory("grace-over")
 
     def takes_work(self, endpoint: Incarnation) -> bool:
-        """Return whether an endpoint may get a request now; under the lock."""
+        """Return whether an endpoint may get a request; requires the lock."""
         table = self._directory.table
         service = table.services.get(endpoint.service) if table else None
         if service is None or not self._groups.takes_work(endpoint):
@@ -346,10 +355,12 @@
             return False
         if not self._limits.takes_work(endpoint.name):
             return False
-        return self._cold_gate.allows(endpoint, service, self._entries, self.now())
+        return self._cold_start_limiter.allows(
+            endpoint, service, self._entry_count, self.now()
+        )
 
     def is_cut_off(self) -> bool:
-        """Return whether entries elsewhere serve this one's callers better."""
+        """Return whether callers are served better by entries elsewhere."""
         table = self._directory.table
         if table is None or not self._reach.is_isolated:
             return False
@@ -367,34 +378,34 @@
         usable = usable_endpoints(self._directory, service)
         return bool(usable) and not any(map(self.takes_work, usable))
 
-    def draw_addresses(self, data_centre: str, number: int) -> list[str]:
-        """Return the addresses of some endpoints of a data centre."""
+    def sample_addresses(self, data_centre: str, number: int) -> list[str]:
+        """Return the addresses of random endpoints of a data centre."""
         with self._lock:
-            there = [
+            addresses = [
                 one.address
                 for one in self._directory.endpoints.values()
                 if one.data_centre == data_centre
             ]
-            return self._rng.sample(there, min(number, len(there)))
+            return self._rng.sample(addresses, min(number, len(addresses)))
 
-    def share_of(self, endpoints: Sequence[Incarnation]) -> EntryShare:
-        """Return what this entry has at endpoints that take work."""
+    def entry_share(self, endpoints: Sequence[Incarnation]) -> EntryShare:
+        """Return this entry's own load on endpoints that accept work."""
         with self._lock:
             in_flight = sum(
                 self._routing.view(one.name).own_in_flight for one in endpoints
             )
-            return EntryShare(in_flight, len(endpoints), self._entries)
+            return EntryShare(in_flight, len(endpoints), self._entry_count)
 
     def record_chosen(self, endpoint: Incarnation) -> None:
-        """Count a request that is about to be sent; under the lock."""
+        """Count a request that is about to be sent; requires the lock."""
         record_sent(self._routing, endpoint.name)
-        self._cold_gate.record_sent(endpoint, self.now())
+        self._cold_start_limiter.record_sent(endpoint, self.now())
 
     def next_permit_at(self, service: str) -> Instant | None:
         """Return when a permit is expected; None if none was denied.
 
         Args:
-            service: The service, of which any endpoint will do.
+            service: The service; a permit for any of its endpoints will do.
         """
         with self._lock:
             names = [one.name for one in usable_endpoints(self._directory, service)]
@@ -403,36 +414,36 @@
     def record_rate_limit(
         self, endpoint: str, rate: float | None, observed_at: Instant
     ) -> None:
-        """Take over what an endpoint says of the requests that it takes."""
+        """Apply the request rate limit that an endpoint reports."""
         with self._lock:
             if endpoint not in self._directory.endpoints:
                 return
         self._limits.record(endpoint, rate, observed_at)
 
     def replace_settings(self, settings: DirectSettings) -> None:
-        """Take over limits from a settings file that has changed."""
+        """Apply limits from a changed settings file."""
         with self._lock:
             self._settings = settings
-            self._cold_gate = ColdStartLimiter(
+            self._cold_start_limiter = ColdStartLimiter(
                 settings.cold_factor, settings.cold_slack
             )
 
     def record_group(
         self, group: str, epoch: int, is_open: bool, step: int | None = None
     ) -> None:
-        """Take over what a rank or its announcement says of its group.
+        """Apply the group state that a rank reports or announces.
 
         Args:
             group: The group.
             epoch: Its epoch.
-            is_open: Whether it takes work.
-            step: The last step that it began; None when that isn't told.
+            is_open: Whether it accepts work.
+            step: The last step that it began; None if unknown.
         """
         with self._groups_changed:
             was_down = self._groups.is_down(group)
             self._groups.record_report(group, epoch, is_open, self.now(), step)
             if was_down and not self._groups.is_down(group):
-                # Its ranks failed for the group's sake.
+                # The ranks failed only because the group was down.
                 clear_backoff(self._routing, self._ranks_of(group))
                 _log.info("Group regained %s.", fields(group=group, epoch=epoch))
             self._groups_changed.notify_all()
@@ -445,11 +456,11 @@
         ]
 
     def record_group_refusal(self, group: str, epoch: int, at_fault: str) -> None:
-        """Note that a rank refused a request for its group's sake.
+        """Record that a rank refused a request because its group is down.
 
         Args:
             group: The group.
-            epoch: The epoch that the rank was believed to be in.
+            epoch: The rank's last known epoch.
             at_fault: Endpoint that the refusal names as the cause.
         """
         with self._groups_changed:
@@ -463,7 +474,7 @@
             self._groups_changed.notify_all()
 
     def record_stall(self, group: str, epoch: int, step: int) -> None:
-        """Note that a group with requests has begun no step for long.
+        """Record that a group with requests has stopped beginning steps.
 
         Args:
             group: The group.
@@ -474,12 +485,12 @@
             if self._groups.is_down(group):
                 return
             self._metrics.count("group_stalled")
-            fact = fields(group=group, epoch=epoch, step=step)
-            _log.warning("Group stalled %s.", fact)
+            details = fields(group=group, epoch=epoch, step=step)
+            _log.warning("Group stalled %s.", details)
             self._groups.record_stall(group, epoch, step, self.now())
             self._groups_changed.notify_all()
 
-    def _apply(
+    def _apply_changes(
         self,
         changed: list[PublishedItem],
         source: str,
@@ -488,10 +499,14 @@
         is_restored: bool,
     ) -> None:
         before, replica = self._directory, self._replica
-        facts = decode_items(sorted(changed, key=lambda item: item.revision), now)
-        hold = self._settings.lease + LAPSE_GRACE_SECONDS
+        updates = decode_items(sorted(changed, key=lambda item: item.revision), now)
+        hold_seconds = self._settings.lease + LAPSE_GRACE_SECONDS
         self._directory = apply_updates(
-            before, facts, replica.lapse_until, now, now + hold if is_restored else None
+            before,
+            updates,
+            replica.lapse_until,
+            now,
+            now + hold_seconds if is_restored else None,
         )
         after = self._directory
         for one in after.endpoints.values():
@@ -503,13 +518,13 @@
         for name in before.endpoints.keys() - after.endpoints.keys():
             self._routing.forget(name)
             self._limits.forget(name)
-        self._log_beliefs(source)
+        self._log_directory(source)
 
-    def _log_beliefs(self, source: str) -> None:
+    def _log_directory(self, source: str) -> None:
         directory, replica = self._directory, self._replica
         leaving = sum(one.leaving for one in directory.endpoints.values())
         _log.info(
-            "Beliefs changed %s.",
+            "Directory changed %s.",
             fields(
                 position=replica.position.revision,
                 source=source,
--- a/mintsaddle/direct/_groups.py
+++ b/mintsaddle/direct/_groups.py
@@ -1,17 +1,17 @@
-"""Asking groups that are down whether they have formed anew."""
+"""Checks whether groups that are down have formed again."""
 
 import threading
 
 from mintsaddle.direct._gateway import Gateway
 from mintsaddle.direct._rank_calls import RankCalls
 
-ASK_SECONDS = 0.15
-"""Seconds between two questions: a fraction of the 0.6 s that a group takes to
-form, for about the price of a health check each."""
+CHECK_INTERVAL_SECONDS = 0.15
+"""Seconds between two checks of a group: a fraction of the 0.6 s that a group
+takes to form. Each check costs about as much as a health check."""
 
 
-def start_asking(gateway: Gateway) -> None:
-    """Ask in a thread of its own, for the process's life."""
+def start_group_checks(gateway: Gateway) -> None:
+    """Start a daemon thread that checks groups until the process ends."""
     threading.Thread(target=_run, args=(gateway,), name="groups", daemon=True).start()
 
 
@@ -24,12 +24,12 @@
                 gateway.groups_changed.wait()
             down = gateway.groups.down_groups()
         for group in down:
-            _ask(gateway, calls, group)
-        pause.wait(ASK_SECONDS)
+            _check_group(gateway, calls, group)
+        pause.wait(CHECK_INTERVAL_SECONDS)
 
 
-def _ask(gateway: Gateway, calls: RankCalls, group: str) -> None:
-    """Ask one rank, another one each time: some may be cut off."""
+def _check_group(gateway: Gateway, calls: RankCalls, group: str) -> None:
+    """Read the report of a random rank, since some ranks may be cut off."""
     places = {
         one.address: one.place
         for one in gateway.directory.endpoints.values()
@@ -40,7 +40,6 @@
     with gateway.lock:
         address = gateway.rng.choice(list(places))
     report = calls.read_report(address, places[address].rank)
-    # A rank that can't be asked may be the very one that is lost; another one
-    # is asked next.
+    # A rank without a report may be the lost one; the next check picks again.
     if report is not None:
         gateway.record_group(group, report.epoch, report.is_open, report.step)
--- a/mintsaddle/direct/_maps.py
+++ b/mintsaddle/direct/_maps.py
@@ -1,4 +1,4 @@
-"""Managing the expert maps of rank groups, one duty for each group."""
+"""Management of rank groups' expert maps; each group is a duty of its own."""
 
 import threading
 import time
@@ -21,48 +21,53 @@
 from mintsaddle.direct._gateway import Gateway, map_duty
 from mintsaddle.direct._rank_calls import GroupPoll, RankCalls
 from mintsaddle.direct._rank_groups import RankGroup, find_rank_groups
-from mintsaddle.direct._switches import REPORT_AGE_SECONDS, SwitchRunner
+from mintsaddle.direct._switches import REPORT_WAIT_SECONDS, SwitchRunner
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.values import MILLISECONDS
 
 POLL_SECONDS = 0.5
-"""Seconds between two polls at a group over the network: popularity changes
-every few seconds, and a poll costs reports and the counts of a few ranks."""
+"""Seconds between two polls of a group over the network. Popularity changes
+every few seconds, and each poll reads reports and the counts of a few
+ranks."""
 
 AGENT_POLL_SECONDS = 0.1
-"""The same by agents, where a poll costs little more than its datagrams."""
+"""Seconds between two polls through agents, which cost little more than their
+datagrams."""
 
 SAMPLE_RANKS = 2
 """Ranks whose counts are read in a poll over the network. Requests are spread
-over all ranks alike, so two of twelve show the hot experts; reading each costs
-a pause."""
+evenly over the ranks, so two of twelve show the hot experts; each reading
+costs a pause."""
 
-REACHABLE_SHARE = 0.5
-"""Share of the ranks that get work whose agents have to reply for looks by
-agents; the others are left out then, since all run in step."""
+MIN_REACHABLE_SHARE = 0.5
+"""Share of the serving ranks whose agents must be reachable for polls through
+agents. The other ranks are left out, since all ranks run in step."""
 
-AGENT_COUNTS = 16_000
-"""Counts of experts that are read in a poll by agents at most; it bounds the
-coordinator's share of a link and of a core however large the group is."""
+MAX_AGENT_COUNTS = 16_000
+"""Most expert counts read in a poll through agents. Bounds the coordinator's
+use of a link and of a core regardless of the group's size."""
 
 SLOWNESS_RANKS = 3
-"""Ranks asked in a poll how slow they are: all of twelve within 2 s."""
+"""Ranks whose slowness is read in a poll over the network; covers twelve ranks
+within 2 s."""
 
 WATCHDOGS = 2
-"""Successors that check whether the group stands still."""
+"""Successors of the coordinator that check whether the group has stalled."""
 
-WATCHED_RANKS = 3
-"""Ranks that they ask: some may have no requests while the group is busy."""
+WATCHDOG_RANKS = 3
+"""Ranks that each of them polls; several, since some may have no requests
+while the group is busy."""
 
-FREE_TRIES = 8
-"""Polls of a group in which one's own switch has left a step held, one each
-report's age: 2.4 s; the group stands before that step within 0.5 s."""
+ROLLBACK_ATTEMPTS = 8
+"""Attempts to roll back a failed switch of this coordinator that has left a
+step held. At one per REPORT_WAIT_SECONDS they take 2.4 s; the group stops
+before the held step within 0.5 s."""
 
 _log = make_logger("maps")
 
 
 class MapCoordinator:
-    """Watches the groups that this entry manages; one thread."""
+    """Manages the maps of the groups whose duty this entry has; one thread."""
 
     def __init__(self, gateway: Gateway, membership: Membership) -> None:
         self._gateway = gateway
@@ -71,10 +76,10 @@
         self._runner = SwitchRunner(self._ranks, gateway.now)
         self._watches: dict[str, MapWatch] = {}
         self._last_versions: dict[str, int] = {}
-        self._stalls: dict[str, StallDetector] = {}
-        self._polls = 0
-        self._has_agents = False
-        self._maps: dict[str, tuple[int, ExpertMap | None]] = {}
+        self._stall_detectors: dict[str, StallDetector] = {}
+        self._poll_count = 0
+        self._has_reachable_group = False
+        self._known_maps: dict[str, tuple[int, ExpertMap | None]] = {}
 
     def start(self) -> None:
         """Start the thread."""
@@ -82,18 +87,20 @@
 
     def _run(self) -> None:
         while True:
-            time.sleep(AGENT_POLL_SECONDS if self._has_agents else POLL_SECONDS)
+            time.sleep(
+                AGENT_POLL_SECONDS if self._has_reachable_group else POLL_SECONDS
+            )
             if self._gateway.leaving:
                 return
-            self._has_agents = False
+            self._has_reachable_group = False
             for group in find_rank_groups(self._gateway.directory):
-                self._try_to_manage(group)
-                self._has_agents |= self._is_reachable(group)
+                self._manage_safely(group)
+                self._has_reachable_group |= self._is_reachable(group)
 
-    def _try_to_manage(self, group: RankGroup) -> None:
-        """See to a group; go on with the duty whatever goes wrong.
+    def _manage_safely(self, group: RankGroup) -> None:
+        """Manage a group; log any exception and go on.
 
-        A coordinator without its thread would leave a held group held.
+        If the thread ended, groups with a held step would stay held.
         """
         try:
             self._manage(group)
@@ -101,38 +108,43 @@
             _log.exception("Poll failed %s.", fields(group=group.name))
 
     def _manage(self, group: RankGroup) -> None:
-        place = self._membership.succession_index(
+        index = self._membership.succession_index(
             map_duty(group.name), self._gateway.now()
         )
-        if place == 0:
+        if index == 0:
             self._poll_group(group)
             return
         self._watches.pop(group.name, None)
-        if place is not None and place <= WATCHDOGS and self._is_reachable(group):
-            self._watch_for_stall(group, place)
+        if index is not None and index <= WATCHDOGS and self._is_reachable(group):
+            self._watch_for_stall(group, index)
 
-    def _watch_for_stall(self, group: RankGroup, place: int) -> None:
-        """Free a group whose coordinator has died while it held a step.
+    def _watch_for_stall(self, group: RankGroup, index: int) -> None:
+        """Release a group whose coordinator died while it held a step.
 
-        The duty passes on seconds later only, when callers have left.
+        The duty passes to a successor only seconds later, when callers have
+        already given up.
+
+        Args:
+            group: The group.
+            index: This entry's index in the succession.
         """
         reachable = self._ranks.reachable_ranks(group)
-        asked = choose_sampled_ranks(sorted(reachable), WATCHED_RANKS)
+        asked = choose_sampled_ranks(sorted(reachable), WATCHDOG_RANKS)
         poll = self._ranks.poll(group, asked)
-        report = poll.first_of(asked)
-        stall = self._stalls.setdefault(group.name, StallDetector())
+        report = poll.first_report(asked)
+        stall = self._stall_detectors.setdefault(group.name, StallDetector())
         now = self._gateway.now()
         if report is None or not report.is_open:
-            self._stalls.pop(group.name, None)
+            self._stall_detectors.pop(group.name, None)
             return
         stall.record_step(report.step, poll.running, now)
-        if stall.is_stuck(now, watchdog_timeout(place)):
+        if stall.is_stuck(now, watchdog_timeout(index)):
             self._recover(group)
 
     def _poll_group(self, group: RankGroup) -> None:
         gateway = self._gateway
         poll = self._poll(group)
-        report = poll.first_of(group.serving)
+        report = poll.first_report(group.serving)
         if report is None or not report.is_open:
             self._watches.pop(group.name, None)
             return
@@ -161,9 +173,9 @@
             self._switch(group, watch, current, planned)
 
     def _is_reachable(self, group: RankGroup) -> bool:
-        """Return whether most ranks that get work are reached by agents."""
+        """Return whether the agents of enough serving ranks are reachable."""
         reachable = self._ranks.reachable_ranks(group).intersection(group.serving)
-        return len(reachable) >= len(group.serving) * REACHABLE_SHARE
+        return len(reachable) >= len(group.serving) * MIN_REACHABLE_SHARE
 
     def _begin_watch(self, group: RankGroup, epoch: int) -> MapWatch:
         table = self._gateway.directory.table
@@ -174,28 +186,32 @@
         return watch
 
     def _poll(self, group: RankGroup) -> GroupPoll:
-        """Ask the ranks; over the network few of them, others in each poll."""
+        """Poll the ranks; over the network only a few, which vary by poll."""
         ranks = len(group.ranks)
         if self._is_reachable(group):
             reachable = self._ranks.reachable_ranks(group)
             numbers = group.model.layers * group.model.experts
             serving = [rank for rank in group.serving if rank in reachable]
-            counted = choose_sampled_ranks(serving, max(1, AGENT_COUNTS // numbers))
-            return self._ranks.poll(group, reachable, counted)
-        self._polls += 1
-        first = self._polls * SLOWNESS_RANKS
+            counted_ranks = choose_sampled_ranks(
+                serving, max(1, MAX_AGENT_COUNTS // numbers)
+            )
+            return self._ranks.poll(group, reachable, counted_ranks)
+        self._poll_count += 1
+        first = self._poll_count * SLOWNESS_RANKS
         asked = {(first + offset) % ranks for offset in range(SLOWNESS_RANKS)}
-        counted = choose_sampled_ranks(group.serving, SAMPLE_RANKS)
-        return self._ranks.poll(group, asked | {group.serving[0], *counted}, counted)
+        counted_ranks = choose_sampled_ranks(group.serving, SAMPLE_RANKS)
+        return self._ranks.poll(
+            group, asked | {group.serving[0], *counted_ranks}, counted_ranks
+        )
 
     def _current_map(self, group: RankGroup, report: RankReport) -> ExpertMap | None:
-        """Return the map in use, as set here or as the ranks tell."""
+        """Return the active map, as known here or as read from the ranks."""
         if report.version == 0:
             model = group.model
             ranks = len(group.ranks)
             slots = -(-model.experts // ranks)
             return make_first_map(0, ranks, model.experts, model.layers, slots)
-        epoch, known = self._maps.get(group.name, (0, None))
+        epoch, known = self._known_maps.get(group.name, (0, None))
         if known and (epoch, known.version) == (report.epoch, report.version):
             return known
         held = self._ranks.read_experts(group)
@@ -222,14 +238,14 @@
         began_at = self._gateway.now()
         slowest = max(reports, key=lambda report: report.slowness)
         step_seconds = watch.step_seconds
-        switch = self._runner.carry_out(group, switch, step_seconds)
+        switch = self._runner.execute(group, switch, step_seconds)
         if switch.stage is SwitchStage.DONE:
-            self._maps[group.name] = (switch.epoch, new_map)
+            self._known_maps[group.name] = (switch.epoch, new_map)
             watch.record_switch(version, self._gateway.now())
         elif switch.stage is SwitchStage.FAILED and switch.held_ranks:
-            self._free_own_hold(group)
+            self._roll_back_own_hold(group)
         _log.info(
-            "Switch over %s.",
+            "Switch finished %s.",
             fields(
                 group=group.name,
                 version=new_map.version,
@@ -245,22 +261,22 @@
         )
         self._gateway.metrics.count(f"switch_{switch.stage.value}")
 
-    def _free_own_hold(self, group: RankGroup) -> None:
-        """Withdraw what one's own switch has left held, without being asked.
+    def _roll_back_own_hold(self, group: RankGroup) -> None:
+        """Roll back this coordinator's own switch that has left a step held.
 
-        Left to whoever notices a group that stands still, it would stand for
-        over a second more, and callers leave streams after two.
+        Left to stall detection, the group would stall for over a second more,
+        and callers abandon streams after two.
         """
-        for _ in range(FREE_TRIES):
-            time.sleep(REPORT_AGE_SECONDS)
+        for _ in range(ROLLBACK_ATTEMPTS):
+            time.sleep(REPORT_WAIT_SECONDS)
             if self._recover(group):
                 return
 
     def _recover(self, group: RankGroup) -> bool:
-        """Bring a switch to its end whose coordinator has gone.
+        """Roll back a switch whose coordinator left a step held.
 
         Returns:
-            Whether nothing is held any more.
+            Whether no rank reported a held step, or a rollback was executed.
         """
         reports = self._ranks.read_reports(group)
         if reports is None:
@@ -280,6 +296,8 @@
             fields(group=group.name, step=switch.step, version=switch.version),
         )
         self._gateway.metrics.count("group_held")
-        switch = self._runner.carry_out(group, switch, 0.1)
-        _log.info("Group freed %s.", fields(group=group.name, stage=switch.stage.value))
+        switch = self._runner.execute(group, switch, 0.1)
+        _log.info(
+            "Group released %s.", fields(group=group.name, stage=switch.stage.value)
+        )
         return True
--- a/mintsaddle/direct/_paths.py
+++ b/mintsaddle/direct/_paths.py
@@ -29,7 +29,7 @@
 
 def _check(gateway: Gateway, pool: ThreadPoolExecutor, data_centre: str) -> None:
     """Connect to some endpoints of a data centre, and to the platform."""
-    addresses = gateway.draw_addresses(data_centre, ENDPOINTS_PER_CHECK)
+    addresses = gateway.sample_addresses(data_centre, ENDPOINTS_PER_CHECK)
     store = pool.submit(_connects, gateway.settings.store)
     reached = _any_connects(pool, addresses)
     gateway.reach.record_check(
--- a/mintsaddle/direct/_peers.py
+++ b/mintsaddle/direct/_peers.py
@@ -109,7 +109,7 @@
         def notify() -> None:
             loop.call_soon_threadsafe(self._relay.notify)
 
-        self._gateway.on_copy(notify)
+        self._gateway.on_replica_update(notify)
 
     def watch_cuts(self, loop: asyncio.AbstractEventLoop) -> None:
         """Tell neighbours in the given loop when a path is cut or back."""
@@ -130,7 +130,7 @@
                 now, self._gateway.rng, duties, is_searching=is_searching
             )
             await asyncio.gather(*(self._ask(address) for address in peers))
-            self._gateway.set_entries(self._membership.count(now))
+            self._gateway.set_entry_count(self._membership.count(now))
             is_hurried = is_searching or not self._membership.is_settled(now)
             pause = SEARCH_SECONDS if is_hurried else ROUND_SECONDS
             pause *= 0.75 + self._gateway.rng.random() / 2
@@ -303,5 +303,5 @@
     watch = asyncio.ensure_future(exchange.watch_holders())
     following = asyncio.ensure_future(exchange.follow_upstreams())
     telling = asyncio.ensure_future(exchange.permits.tell_changes())
-    gateway.keep(server, rounds, watch, following, telling)
+    gateway.keep_references(server, rounds, watch, following, telling)
     return exchange
--- a/mintsaddle/direct/_probe.py
+++ b/mintsaddle/direct/_probe.py
@@ -7,7 +7,7 @@
 
 from mintsaddle.decisions.direct import EngineLoad, Incarnation
 from mintsaddle.decisions.expert_maps import FIRST_VERSION
-from mintsaddle.direct._agents import AgentLink, SilentAgents, agent_address
+from mintsaddle.direct._agents import AgentClient, SilentAgents, agent_address
 from mintsaddle.platform import decode_rank_report, report_call
 from mintsaddle.settings import DirectSettings
 from mintsaddle.values import Clock
@@ -24,7 +24,7 @@
         self._host = settings.host
         self._port = settings.agent_port
         self._silent = SilentAgents(now)
-        self._idle: list[AgentLink] = []
+        self._idle: list[AgentClient] = []
         self._lock = threading.Lock()
 
     def ask(self, endpoints: Sequence[Incarnation]) -> dict[str, EngineLoad]:
@@ -37,7 +37,7 @@
         asked = {
             agent_address(one.address, self._port): one
             for one in endpoints
-            if self._port and one.place and self._silent.is_asked(one.address)
+            if self._port and one.place and self._silent.may_ask(one.address)
         }
         if not asked:
             return {}
@@ -47,7 +47,7 @@
             self._idle.append(link)
         loads = {}
         for agent, one in asked.items():
-            self._silent.record_reply(one.address, came=agent in replies)
+            self._silent.record_reply(one.address, received=agent in replies)
             if agent not in replies or one.place is None:
                 continue
             match decode_rank_report(replies[agent][0], one.place.rank):
@@ -61,9 +61,9 @@
                     )
         return loads
 
-    def _take_link(self) -> AgentLink:
+    def _take_link(self) -> AgentClient:
         """Return a link that no other thread uses meanwhile."""
         with self._lock:
             if self._idle:
                 return self._idle.pop()
-        return AgentLink(self._host, REPLY_SECONDS)
+        return AgentClient(self._host, REPLY_SECONDS)
--- a/mintsaddle/direct/_rank_calls.py
+++ b/mintsaddle/direct/_rank_calls.py
@@ -1,7 +1,7 @@
-"""Reports, counts and orders of a group's ranks, by agents if there are any.
+"""Reports, counts and orders of a group's ranks, through agents if available.
 
-An agent's engine answers with what holds now; over the network a report is
-some hundred milliseconds old, and every call has its price.
+Reports through agents show the engine's current state. Over the network a
+report is some hundred milliseconds old, and every call has a cost.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -17,7 +17,7 @@
     Popularity,
     RankReport,
 )
-from mintsaddle.direct._agents import AgentLink, SilentAgents, agent_address
+from mintsaddle.direct._agents import AgentClient, SilentAgents, agent_address
 from mintsaddle.direct._rank_groups import RankGroup
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.platform import (
@@ -35,42 +35,42 @@
 from mintsaddle.settings import DirectSettings
 from mintsaddle.values import Instant
 
-_NETWORK_CALLS = 12
-"""Calls over the network at one time."""
+_MAX_NETWORK_CALLS = 12
+"""Most concurrent calls over the network."""
 
-OVER_NETWORK = frozenset({OrderAct.HOLD})
-"""Orders that don't go by agents, so that the VM of a rank that is lost never
-holds a step that only this rank could release."""
+NETWORK_ONLY_ACTS = frozenset({OrderAct.HOLD})
+"""Orders that aren't sent through agents. Otherwise the VM of a lost rank
+could hold a step that only this rank could release."""
 
 _log = make_logger("maps")
 
 
 class GroupPoll(NamedTuple):
-    """What the ranks of a group said when they were asked."""
+    """Result of a poll of a group's ranks."""
 
     reports: Mapping[int, RankReport]
-    """By rank; those that gave none are missing."""
+    """Reports by rank; ranks without a readable report are missing."""
 
     counts: Mapping[int, Popularity]
-    """How often each expert was chosen since the rank's start, by rank."""
+    """How often each expert was chosen since the rank started, by rank."""
 
     @property
     def running(self) -> int:
-        """Requests that the ranks are writing.
+        """Requests that the polled ranks are generating output for.
 
-        Of all ranks that were asked: one without any says nothing of a group
-        with few requests for each rank.
+        Adds up all polled ranks: in a group with few requests per rank, a
+        single rank may have none while the group is busy.
         """
         return sum(report.running for report in self.reports.values())
 
-    def first_of(self, ranks: Iterable[int]) -> RankReport | None:
-        """Return the report of the first of some ranks that gave one."""
+    def first_report(self, ranks: Iterable[int]) -> RankReport | None:
+        """Return the report of the first of these ranks that has one."""
         found = (self.reports.get(rank) for rank in ranks)
         return next((report for report in found if report is not None), None)
 
     @property
     def is_fresh(self) -> bool:
-        """Whether every report tells what holds now."""
+        """Whether every report is current."""
         return all(report.is_fresh for report in self.reports.values())
 
 
@@ -80,7 +80,7 @@
 
 
 class RankCalls:
-    """Calls to ranks; used by one thread."""
+    """Makes calls to ranks; for use by one thread only."""
 
     def __init__(
         self,
@@ -88,65 +88,70 @@
         now: Callable[[], Instant],
         count: Callable[[str], None],
     ) -> None:
-        """Open the way to the agents.
+        """Set up the calls, with a client for agents if they are configured.
 
         Args:
-            settings: Names the port of agents, if there are any.
-            now: Returns the present instant.
-            count: Adds one to a counter.
+            settings: Settings; a port of 0 means that there are no agents.
+            now: Returns the current time.
+            count: Increments the counter of a given name.
         """
         self._port = settings.agent_port
-        self._link = AgentLink(settings.host) if settings.agent_port else None
+        self._client = AgentClient(settings.host) if settings.agent_port else None
         self._now = now
         self._count = count
-        self._pool = ThreadPoolExecutor(_NETWORK_CALLS, "ranks")
-        self._silent = SilentAgents(now)
+        self._pool = ThreadPoolExecutor(_MAX_NETWORK_CALLS, "ranks")
+        self._silent_agents = SilentAgents(now)
 
     def reachable_ranks(self, group: RankGroup) -> frozenset[int]:
-        """Return the ranks whose agents replied when they were last asked."""
+        """Return the ranks whose agents aren't skipped as silent."""
         return frozenset(
-            rank for rank, one in enumerate(group.ranks) if self._is_asked(one.address)
+            rank
+            for rank, one in enumerate(group.ranks)
+            if self._may_ask_agent(one.address)
         )
 
     def has_agents(self, group: RankGroup) -> bool:
-        """Return whether all agents of a group replied when last asked."""
+        """Return whether no agent of a group is skipped as silent."""
         return len(self.reachable_ranks(group)) == len(group.ranks)
 
     def read_report(self, address: str, rank: int) -> RankReport | None:
-        """Return what one rank says of itself, if it answers."""
-        (found,) = self._ask({address: [report_call()]}).values()
+        """Return the report of one rank, or None if it gives none."""
+        (found,) = self._call_engines({address: [report_call()]}).values()
         report = decode_rank_report(found.answers[0], rank)
         return report.value_or(None)
 
     def poll(
-        self, group: RankGroup, ranks: Iterable[int], counted: Iterable[int] = ()
+        self, group: RankGroup, ranks: Iterable[int], counted_ranks: Iterable[int] = ()
     ) -> GroupPoll:
-        """Ask ranks what they say of themselves.
+        """Poll ranks for their reports.
 
         Args:
             group: The group.
-            ranks: Whose reports are wanted.
-            counted: Of these ranks the counts are wanted too.
+            ranks: The ranks to poll.
+            counted_ranks: Those whose expert counts are read as well.
         """
-        with_counts = frozenset(counted)
+        with_counts = frozenset(counted_ranks)
         calls = {
             rank: [report_call(), *([counts_call()] if rank in with_counts else [])]
             for rank in ranks
         }
         reports: dict[int, RankReport] = {}
         counts: dict[int, Popularity] = {}
-        for rank, found in self._ask_ranks(group, calls).items():
+        for rank, found in self._call_ranks(group, calls).items():
             match decode_rank_report(found.answers[0], rank):
                 case Success(report):
                     reports[rank] = report._replace(is_fresh=found.is_fresh)
                 case Failure(problem):
-                    self._log_missing(group, rank, problem)
+                    self._log_missing_answer(group, rank, problem)
             if rank in with_counts:
                 self._record_counts(group, rank, found.answers[1], counts)
         return GroupPoll(reports, counts)
 
     def read_reports(self, group: RankGroup) -> list[RankReport] | None:
-        """Return a report of every rank, or None if one is missing."""
+        """Return the reports of all ranks, by rank.
+
+        Returns None if one is missing or the epochs differ.
+        """
         reports = self.poll(group, range(len(group.ranks))).reports
         known = [report for _, report in sorted(reports.items())]
         if len(known) < len(group.ranks):
@@ -158,48 +163,50 @@
     def read_experts(
         self, group: RankGroup
     ) -> list[tuple[tuple[int, ...], ...]] | None:
-        """Return the experts that each rank holds by layer, if all tell."""
+        """Return each rank's experts by layer, or None if one is missing."""
         calls = {rank: [experts_call()] for rank in range(len(group.ranks))}
         held = []
-        for rank, found in sorted(self._ask_ranks(group, calls).items()):
+        for rank, found in sorted(self._call_ranks(group, calls).items()):
             match decode_rank_experts(found.answers[0]):
                 case Success(experts):
                     held.append(experts)
                 case Failure(problem):
-                    self._log_missing(group, rank, problem)
+                    self._log_missing_answer(group, rank, problem)
                     return None
         return held
 
     def send(
         self, group: RankGroup, orders: Sequence[MapOrder]
     ) -> Mapping[MapOrder, OrderOutcome]:
-        """Give orders; at most one to a rank."""
+        """Send orders, at most one to each rank; return their outcomes."""
         calls = {order.rank: [order_call(order)] for order in orders}
-        if any(order.act in OVER_NETWORK for order in orders):
+        if any(order.act in NETWORK_ONLY_ACTS for order in orders):
             addresses = {group.ranks[rank].address: calls[rank] for rank in calls}
-            over_network = self._ask_network(addresses)
+            over_network = self._call_network(addresses)
             found = {r: over_network[group.ranks[r].address] for r in calls}
         else:
-            found = self._ask_ranks(group, calls)
+            found = self._call_ranks(group, calls)
         return {order: decode_verdict(found[order.rank].answers[0]) for order in orders}
 
-    def _ask_ranks(
+    def _call_ranks(
         self, group: RankGroup, calls: Mapping[int, Sequence[RankCall]]
     ) -> dict[int, _Answers]:
-        found = self._ask({group.ranks[r].address: calls[r] for r in calls})
+        found = self._call_engines({group.ranks[r].address: calls[r] for r in calls})
         return {rank: found[group.ranks[rank].address] for rank in calls}
 
-    def _ask(self, calls: Mapping[str, Sequence[RankCall]]) -> dict[str, _Answers]:
-        """Ask engines by agents, and over the network where no agent replies.
+    def _call_engines(
+        self, calls: Mapping[str, Sequence[RankCall]]
+    ) -> dict[str, _Answers]:
+        """Call engines through agents, or the network if an agent is silent.
 
         Args:
-            calls: For each engine's IP and port the calls to it.
+            calls: Calls to each engine, by its IP and port.
         """
-        found = self._ask_agents(calls)
+        found = self._call_agents(calls)
         left = {one: calls[one] for one in calls if one not in found}
-        return {**found, **self._ask_network(left)}
+        return {**found, **self._call_network(left)}
 
-    def _ask_network(
+    def _call_network(
         self, calls: Mapping[str, Sequence[RankCall]]
     ) -> dict[str, _Answers]:
         def call_all(address: str) -> _Answers:
@@ -208,30 +215,32 @@
 
         return dict(zip(calls, self._pool.map(call_all, calls), strict=True))
 
-    def _ask_agents(
+    def _call_agents(
         self, calls: Mapping[str, Sequence[RankCall]]
     ) -> dict[str, _Answers]:
-        if self._link is None:
+        if self._client is None:
             return {}
-        asked = {
-            one: agent_address(one, self._port) for one in calls if self._is_asked(one)
+        agents = {
+            one: agent_address(one, self._port)
+            for one in calls
+            if self._may_ask_agent(one)
         }
-        replies = self._link.ask({agent: calls[one] for one, agent in asked.items()})
-        for engine, agent in asked.items():
-            self._record_reply(engine, came=agent in replies)
+        replies = self._client.ask({agent: calls[one] for one, agent in agents.items()})
+        for engine, agent in agents.items():
+            self._record_reply(engine, received=agent in replies)
         return {
             engine: _Answers(replies[agent], is_fresh=True)
-            for engine, agent in asked.items()
+            for engine, agent in agents.items()
             if agent in replies
         }
 
-    def _record_reply(self, engine: str, *, came: bool) -> None:
-        self._silent.record_reply(engine, came=came)
-        if not came:
+    def _record_reply(self, engine: str, *, received: bool) -> None:
+        self._silent_agents.record_reply(engine, received=received)
+        if not received:
             self._count("agent_silent")
 
-    def _is_asked(self, engine: str) -> bool:
-        return self._link is not None and self._silent.is_asked(engine)
+    def _may_ask_agent(self, engine: str) -> bool:
+        return self._client is not None and self._silent_agents.may_ask(engine)
 
     def _record_counts(
         self,
@@ -245,9 +254,9 @@
             case Success(found):
                 counts[rank] = found
             case Failure(problem):
-                self._log_missing(group, rank, problem)
+                self._log_missing_answer(group, rank, problem)
 
-    def _log_missing(self, group: RankGroup, rank: int, problem: str) -> None:
+    def _log_missing_answer(self, group: RankGroup, rank: int, problem: str) -> None:
         _log.info(
             "Answer missing %s.", fields(group=group.name, rank=rank, why=problem)
         )
--- a/mintsaddle/direct/_rank_groups.py
+++ b/mintsaddle/direct/_rank_groups.py
@@ -1,4 +1,4 @@
-"""The rank groups among the endpoints that have announced themselves."""
+"""Rank groups formed by the announced endpoints."""
 
 from typing import NamedTuple
 
@@ -6,18 +6,18 @@
 
 
 class RankGroup(NamedTuple):
-    """The ranks of one group, in order."""
+    """A rank group whose ranks are all announced."""
 
     name: str
     service: str
     ranks: tuple[Incarnation, ...]
     model: ExpertLayout
     serving: tuple[int, ...]
-    """Ranks that get work: their data centre isn't out."""
+    """Ranks that get work, which excludes those in evacuated data centres."""
 
 
 def find_rank_groups(directory: Directory) -> list[RankGroup]:
-    """Return the groups whose ranks are all announced."""
+    """Return the groups with all ranks announced and at least one serving."""
     if directory.table is None:
         return []
     found: dict[str, dict[int, Incarnation]] = {}
--- a/mintsaddle/direct/_relay.py
+++ b/mintsaddle/direct/_relay.py
@@ -122,7 +122,7 @@
             return
         if position.lapse_left > 0:
             gateway.expect_lapses(now + position.lapse_left)
-        gateway.take_items(
+        gateway.apply_items(
             [_decode(item) for item in news.items],
             read_position(position),
             is_complete=news.complete,
--- a/mintsaddle/direct/_run.py
+++ b/mintsaddle/direct/_run.py
@@ -10,7 +10,7 @@
 from mintsaddle.direct._app import DirectApp
 from mintsaddle.direct._follow import start_following
 from mintsaddle.direct._gateway import Gateway
-from mintsaddle.direct._groups import start_asking
+from mintsaddle.direct._groups import start_group_checks
 from mintsaddle.direct._maps import MapCoordinator
 from mintsaddle.direct._paths import start_checking_paths
 from mintsaddle.direct._peers import start_peers
@@ -72,7 +72,7 @@
     )
     start_peers(gateway, membership)
     MapCoordinator(gateway, membership).start()
-    start_asking(gateway)
+    start_group_checks(gateway)
     start_checking_paths(gateway)
     threading.Thread(
         target=_keep_limits, args=(gateway, server), name="limits", daemon=True
@@ -141,7 +141,7 @@
 
 
 def _show_ready(gateway: Gateway) -> tuple[str, str]:
-    if gateway.leaving or not gateway.knows_all or gateway.is_cut_off():
+    if gateway.leaving or not gateway.is_initialized or gateway.is_cut_off():
         return "503 Service Unavailable", "not serving\n"
     return "200 OK", "serving\n"
 
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -177,7 +177,7 @@
         self._record_head(endpoint, head)
         if head.is_misdirected:
             if not head.at_fault:
-                self._gateway.record_moved(endpoint.name)
+                self._gateway.record_replaced(endpoint.name)
             return Ending.MISDIRECTED, None
         if head.never_ran:
             place = endpoint.place
--- a/mintsaddle/direct/_switches.py
+++ b/mintsaddle/direct/_switches.py
@@ -1,4 +1,4 @@
-"""Carrying a switch of a group's expert map out: orders and reports."""
+"""Execution of a switch of a group's expert map by orders and reports."""
 
 import time
 from collections.abc import Callable
@@ -20,41 +20,44 @@
 from mintsaddle.direct._rank_groups import RankGroup
 from mintsaddle.values import Instant
 
-REPORT_AGE_SECONDS = 0.3
-"""Seconds after an order until a report that may be old shows what it did:
-such reports are up to 0.2 s old."""
+REPORT_WAIT_SECONDS = 0.3
+"""Seconds after an order until any report shows its effect. Reports that
+aren't fresh are up to 0.2 s old."""
 
-_COPY_SECONDS = 0.18
+_LOAD_RETRY_SECONDS = 0.18
 """Seconds until a rank without an agent is asked again whether it has loaded
-its weights: one takes 0.1 to 0.2 s, and most maps bring a rank few."""
+its weights. One expert takes 0.1 to 0.2 s to load, and most maps give a rank
+few new experts."""
 
-_FRESH_COPY_SECONDS = 0.02
-"""The same with an agent, whose report tells at once."""
+_AGENT_LOAD_POLL_SECONDS = 0.02
+"""Seconds between two polls of a rank with an agent, whose report shows at
+once that the weights are loaded."""
 
-_ROUND_SECONDS = 0.05
-_PAUSE_SECONDS = 0.02
-"""Seconds between two rounds in a hurry: a rank that is down refuses at once,
-and without a pause it would be asked hundreds of times a second."""
+_ROUND_PAUSE_SECONDS = 0.05
+_URGENT_PAUSE_SECONDS = 0.02
+"""Seconds between two rounds of an urgent stage. A rank that is down refuses
+at once, and without a pause it would be called hundreds of times a second."""
 
-ROUNDS_TO_REPORT = 6
-"""Rounds in a hurry until reports are read: a rank that is silent may have
-died, and then nothing of the switch is left to finish."""
+ROUNDS_PER_REPORT = 6
+"""Rounds after which reports are read, in urgent stages and while weights
+load. A silent rank may have died, and then nothing of the switch is left to
+finish."""
 
-_HURRIED = frozenset({SwitchStage.ARM, SwitchStage.RELEASE})
+_URGENT_STAGES = frozenset({SwitchStage.ARM, SwitchStage.RELEASE})
 
 
 class SwitchRunner:
-    """Gives orders to the ranks of a group and reads their reports."""
+    """Sends orders to the ranks of a group and reads their reports."""
 
     def __init__(self, ranks: RankCalls, now: Callable[[], Instant]) -> None:
         self._ranks = ranks
         self._now = now
 
-    def carry_out(
+    def execute(
         self, group: RankGroup, switch: ArmedSwitch, step_seconds: float
     ) -> ArmedSwitch:
-        """Send orders and read reports until the switch is over."""
-        is_withdrawing = False
+        """Send orders and read reports until the switch is finished."""
+        is_rolling_back = False
         rounds = 0
         while switch.stage not in TERMINAL_STAGES:
             if switch.stage is SwitchStage.HOLD and not switch.step:
@@ -62,9 +65,11 @@
                 if switch.stage in TERMINAL_STAGES:
                     break
             if needs_fresh_reports(switch):
-                # Old reports only in the first round wouldn't show the hold.
-                switch = self._settle(group, switch, is_sure=not is_withdrawing)
-                is_withdrawing = True
+                # Only in the first round may an old report miss the hold.
+                switch = self._update_from_reports(
+                    group, switch, require_fresh=not is_rolling_back
+                )
+                is_rolling_back = True
             stage = switch.stage
             orders = next_map_orders(switch)
             answers = self._ranks.send(group, orders)
@@ -72,23 +77,23 @@
             if switch.stage in TERMINAL_STAGES:
                 break
             rounds += 1
-            if stage in _HURRIED and rounds % ROUNDS_TO_REPORT:
-                # The group may be standing still: what wasn't answered is sent
-                # again soon. Reports tell now and then if it has formed anew.
-                time.sleep(_PAUSE_SECONDS if switch.stage is stage else 0)
+            if stage in _URGENT_STAGES and rounds % ROUNDS_PER_REPORT:
+                # The group may be stalled, so unanswered orders are resent
+                # soon. Occasional reports show whether it has formed again.
+                time.sleep(_URGENT_PAUSE_SECONDS if switch.stage is stage else 0)
                 continue
             if needs_fresh_reports(switch):
-                time.sleep(_ROUND_SECONDS)
+                time.sleep(_ROUND_PAUSE_SECONDS)
                 continue
             is_refused = OrderOutcome.REFUSED in answers.values()
             if stage is SwitchStage.PREPARE and not is_refused:
                 switch = self._await_weights(group, switch, rounds)
                 continue
             if is_refused or OrderOutcome.UNKNOWN in answers.values():
-                time.sleep(_PAUSE_SECONDS)
-                switch = self._settle(group, switch, is_sure=True)
+                time.sleep(_URGENT_PAUSE_SECONDS)
+                switch = self._update_from_reports(group, switch, require_fresh=True)
             elif switch.stage is stage:
-                time.sleep(_ROUND_SECONDS)
+                time.sleep(_ROUND_PAUSE_SECONDS)
         return switch
 
     def _choose_step(
@@ -102,40 +107,40 @@
     def _await_weights(
         self, group: RankGroup, switch: ArmedSwitch, rounds: int
     ) -> ArmedSwitch:
-        """Wait a while for weights to be loaded.
+        """Wait for a limited time until weights are loaded.
 
-        With agents the ranks are looked at until the next time to give the
-        order again, which may have been lost; without them the order itself,
-        given again, tells that it is done sooner than a report.
+        With agents, polls the ranks until the order, which may have been lost,
+        is due to be resent. Without agents, the answer to the resent order
+        shows completion sooner than a report.
         """
         if switch.stage is not SwitchStage.PREPARE:
             return switch
         if not self._ranks.has_agents(group):
-            time.sleep(_COPY_SECONDS)
-            if rounds % ROUNDS_TO_REPORT:
+            time.sleep(_LOAD_RETRY_SECONDS)
+            if rounds % ROUNDS_PER_REPORT:
                 return switch
-            return self._settle(group, switch, is_sure=False)
-        for _ in range(ROUNDS_TO_REPORT):
-            time.sleep(_FRESH_COPY_SECONDS)
-            switch = self._settle(group, switch, is_sure=False)
+            return self._update_from_reports(group, switch, require_fresh=False)
+        for _ in range(ROUNDS_PER_REPORT):
+            time.sleep(_AGENT_LOAD_POLL_SECONDS)
+            switch = self._update_from_reports(group, switch, require_fresh=False)
             if switch.stage is not SwitchStage.PREPARE:
                 break
         return switch
 
-    def _settle(
-        self, group: RankGroup, switch: ArmedSwitch, *, is_sure: bool
+    def _update_from_reports(
+        self, group: RankGroup, switch: ArmedSwitch, *, require_fresh: bool
     ) -> ArmedSwitch:
-        """Learn from reports what orders did that weren't plainly accepted.
+        """Update the switch from reports where answers left doubt.
 
         Args:
             group: The group.
-            switch: The switch under way.
-            is_sure: Whether the reports have to be newer than the last order:
-                one that may be old could have been made before it.
+            switch: The switch in progress.
+            require_fresh: Whether the reports must be newer than the last
+                order; reports that aren't fresh may predate it.
         """
         ranks = ranks_to_read(switch)
         poll = self._ranks.poll(group, ranks)
-        if is_sure and not poll.is_fresh:
-            time.sleep(REPORT_AGE_SECONDS)
+        if require_fresh and not poll.is_fresh:
+            time.sleep(REPORT_WAIT_SECONDS)
             poll = self._ranks.poll(group, ranks)
         return record_reports(switch, list(poll.reports.values()), self._now())
--- a/mintsaddle/direct/tests/test_probe.py
+++ b/mintsaddle/direct/tests/test_probe.py
@@ -63,11 +63,11 @@
             port = silent.getsockname()[1]
             probe = LoadProbe(SETTINGS._replace(agent_port=port), clock)
             endpoint = make_endpoint("127.0.0.1:1")
-            for _ in range(_agents.MOST_MISSES + 3):
+            for _ in range(_agents.MAX_MISSED_REPLIES + 3):
                 assert probe.ask([endpoint]) == {}
             silent.setblocking(False)
-            assert self._count(silent) == _agents.MOST_MISSES
-            clock.now += _agents.REST_SECONDS
+            assert self._count(silent) == _agents.MAX_MISSED_REPLIES
+            clock.now += _agents.SILENT_BACKOFF_SECONDS
             probe.ask([endpoint])
             assert self._count(silent) == 1
 
--- a/mintsaddle/direct/tests/test_rank_calls.py
+++ b/mintsaddle/direct/tests/test_rank_calls.py
@@ -1,4 +1,4 @@
-"""Asking ranks by their agents, and over the network without them."""
+"""Tests of calls to ranks through their agents and over the network."""
 
 import threading
 from collections import Counter
@@ -15,7 +15,7 @@
     RankReport,
 )
 from mintsaddle.direct import _agents, _rank_calls
-from mintsaddle.direct._agents import AgentLink
+from mintsaddle.direct._agents import AgentClient
 from mintsaddle.direct._rank_calls import GroupPoll, RankCalls
 from mintsaddle.direct._rank_groups import RankGroup
 from mintsaddle.direct.tests.clocks import Clock
@@ -25,10 +25,10 @@
 
 MODEL = ExpertLayout(layers=1, experts=2, places=2, new_places=1, load_seconds=0.1)
 TIMEOUT = 3.0
-"""Seconds for answers that do come, however busy the machine is."""
+"""Seconds to wait for answers that are expected, on a busy machine too."""
 
 
-def show(path: str) -> Any:
+def answer_call(path: str) -> Any:
     if "picked" in path:
         return {"counts": [[5, 7]]}
     return {
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def engine() -> Iterator[Engine]:
-    engine = Engine(show)
+    engine = Engine(answer_call)
     yield engine
     engine.stop()
 
@@ -73,14 +73,14 @@
 def make_calls(
     monkeypatch: pytest.MonkeyPatch, clock: Clock, port: int, seconds: float = TIMEOUT
 ) -> tuple[RankCalls, Counter[str]]:
-    def make_link(host: str) -> AgentLink:
-        return AgentLink(host, seconds)
+    def make_client(host: str) -> AgentClient:
+        return AgentClient(host, seconds)
 
-    monkeypatch.setattr(_rank_calls, "AgentLink", make_link)
-    counted: Counter[str] = Counter()
+    monkeypatch.setattr(_rank_calls, "AgentClient", make_client)
+    metric_counts: Counter[str] = Counter()
     settings = SETTINGS._replace(agent_port=port)
-    calls = RankCalls(settings, clock, lambda name: counted.update([name]))
-    return calls, counted
+    calls = RankCalls(settings, clock, lambda name: metric_counts.update([name]))
+    return calls, metric_counts
 
 
 def port_of(agent: RankAgent) -> int:
@@ -108,20 +108,23 @@
         engine: Engine,
         agent: RankAgent,
     ) -> None:
-        """Guards against a hold that nobody can release while a VM sleeps."""
+        """Guards against a hold that stays unreleased while a VM is suspended.
+
+        That happens if the hold is sent through the rank's own VM.
+        """
         calls, _ = make_calls(monkeypatch, clock, port_of(agent))
         group = make_group(engine)
         calls.poll(group, [0])
         for act in (OrderAct.ARM, OrderAct.HOLD):
             order = MapOrder(0, act, epoch=3, version=4, step=12)
             assert calls.send(group, [order]) == {order: OrderOutcome.DONE}
-        # The agent keeps its one connection; the hold came on another one.
+        # The agent reuses one connection; the hold opened a second one.
         assert engine.connections == 2
 
 
 class TestGroupPoll:
     def test_a_group_has_work_though_some_rank_has_none(self) -> None:
-        """Guards against a group that counts as idle for one rank."""
+        """Guards against a group that counts as idle because one rank is."""
         idle = RankReport(0, 3, True, False, 9, 0, 1, None, None, None)
         busy = idle._replace(rank=1, running=2)
         assert GroupPoll({0: idle, 1: busy}, {}).running == 2
@@ -131,26 +134,26 @@
     def test_a_silent_agent_is_left_out_for_a_while(
         self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: Engine
     ) -> None:
-        """Guards against polls that each wait for a dead agent."""
-        calls, counted = make_calls(monkeypatch, clock, port=9, seconds=0.02)
+        """Guards against every poll waiting for a dead agent's reply."""
+        calls, metric_counts = make_calls(monkeypatch, clock, port=9, seconds=0.02)
         group = make_group(engine)
         for _ in range(4):
             poll = calls.poll(group, [0])
             assert poll.reports[0].step == 9
             assert not poll.is_fresh
-        assert counted["agent_silent"] == _agents.MOST_MISSES
+        assert metric_counts["agent_silent"] == _agents.MAX_MISSED_REPLIES
         assert calls.reachable_ranks(group) == frozenset()
-        clock.now += _agents.REST_SECONDS
+        clock.now += _agents.SILENT_BACKOFF_SECONDS
         assert calls.reachable_ranks(group) == frozenset({0})
 
     def test_no_agents_are_asked_where_there_are_none(
         self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: Engine
     ) -> None:
-        calls, counted = make_calls(monkeypatch, clock, port=0)
+        calls, metric_counts = make_calls(monkeypatch, clock, port=0)
         group = make_group(engine)
         assert not calls.poll(group, [0]).is_fresh
         assert not calls.has_agents(group)
-        assert not counted
+        assert not metric_counts
 
     def test_an_engine_that_gives_no_answer_is_missing(
         self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: Engine
@@ -160,7 +163,7 @@
         group = make_group(engine)
         poll = calls.poll(group, [0], [0])
         assert (poll.reports, poll.counts) == ({}, {})
-        assert poll.first_of([0]) is None
+        assert poll.first_report([0]) is None
         assert calls.read_reports(group) is None
         order = MapOrder(0, OrderAct.ARM, epoch=3, version=4, step=12)
         assert calls.send(group, [order]) == {order: OrderOutcome.UNKNOWN}
--- a/mintsaddle/platform/tests/test_restored_store.py
+++ b/mintsaddle/platform/tests/test_restored_store.py
@@ -52,7 +52,7 @@
 
 
 def sees_one_leave(entry: standins.Entry) -> bool:
-    return "leaving=1 " in lines_with(entry, "Beliefs changed")[-1]
+    return "leaving=1 " in lines_with(entry, "Directory changed")[-1]
 
 
 def assert_passed_over(site: Site) -> None:
--- a/mintsaddle/platform/tests/test_taking_items.py
+++ b/mintsaddle/platform/tests/test_taking_items.py
@@ -51,7 +51,7 @@
 
 
 def take(gateway: Gateway, *items: PublishedItem) -> None:
-    gateway.take_items(
+    gateway.apply_items(
         items,
         Position(0, max(item.revision for item in items)),
         is_complete=False,
@@ -92,8 +92,8 @@
     def test_a_lapse_while_the_platform_was_away_gets_its_grace(
         self, gateway: Gateway
     ) -> None:
-        gateway.record_lost()
-        gateway.record_regained()
+        gateway.record_platform_lost()
+        gateway.record_platform_recovered()
 
         take(gateway, PublishedItem("servers/i-1", 6, None))
 
@@ -135,7 +135,7 @@
         relay = CopyRelay(gateway)
         for era, word in enumerate((b"old", b"new")):
             item = PublishedItem("op/config", 7, word * COMPRESSED_BYTES)
-            gateway.take_items(
+            gateway.apply_items(
                 [item],
                 Position(era, 7),
                 is_complete=True,
--- a/mintsaddle/rank_agent/tests/test_agent.py
+++ b/mintsaddle/rank_agent/tests/test_agent.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mintsaddle.direct._agents import AgentLink
+from mintsaddle.direct._agents import AgentClient
 from mintsaddle.rank_agent import (
     NO_ANSWER,
     AgentReply,
@@ -44,13 +44,13 @@
 
 
 @pytest.fixture
-def link() -> AgentLink:
-    return AgentLink("127.0.0.1", TIMEOUT)
+def link() -> AgentClient:
+    return AgentClient("127.0.0.1", TIMEOUT)
 
 
 class TestCalls:
     def test_calls_are_made_in_order_on_one_connection(
-        self, engine: Engine, agent: RankAgent, link: AgentLink
+        self, engine: Engine, agent: RankAgent, link: AgentClient
     ) -> None:
         answers = link.ask({agent.address: [REPORT, ORDER]})
         assert answers == {
@@ -64,14 +64,14 @@
         assert engine.connections == 1
 
     def test_callers_paths_are_not_reached_through_an_agent(
-        self, engine: Engine, agent: RankAgent, link: AgentLink
+        self, engine: Engine, agent: RankAgent, link: AgentClient
     ) -> None:
         asked = link.ask({agent.address: [RankCall("POST", "/letter/1", "x")]})
         assert asked == {agent.address: (NO_ANSWER,)}
         assert engine.calls == []
 
     def test_garbage_doesnt_end_an_agent(
-        self, engine: Engine, agent: RankAgent, link: AgentLink
+        self, engine: Engine, agent: RankAgent, link: AgentClient
     ) -> None:
         host, _, port = agent.address.rpartition(":")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
@@ -96,7 +96,7 @@
         assert not link.is_reached
 
     def test_a_silent_agent_doesnt_hold_up_the_others(
-        self, agent: RankAgent, link: AgentLink
+        self, agent: RankAgent, link: AgentClient
     ) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
             silent.bind(("127.0.0.1", 0))
@@ -105,7 +105,7 @@
         assert list(answers) == [agent.address]
 
     def test_a_late_reply_isnt_taken_for_another_requests(
-        self, link: AgentLink
+        self, link: AgentClient
     ) -> None:
         """A report from before an order is taken for one from after it."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as agent:
