--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -119,7 +119,7 @@
 
     @property
     def deadlines(self) -> RouteDeadlines:
-        """Deadlines that callers of each route set; requires the lock."""
+        """Times that callers of each route allow; requires the lock."""
         return self._deadlines
 
     @property
@@ -237,7 +237,7 @@
             self._replica.expect_lapses(self.now() + LAPSE_GRACE_SECONDS)
 
     def duties(self) -> set[str]:
-        """Return the names of all duties that the entries divide up."""
+        """Return the names of the duties to divide among entries."""
         places = (one.place for one in self._directory.endpoints.values())
         return {map_duty(place.group) for place in places if place is not None}
 
