--- a/mintsaddle/rank_agent/tests/test_agent.py
+++ b/mintsaddle/rank_agent/tests/test_agent.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mintsaddle.direct._agents import AgentLink
+from mintsaddle.direct._agents import AgentClient
 from mintsaddle.rank_agent import (
     NO_RESPONSE,
     AgentReply,
@@ -44,13 +44,13 @@
 
 
 @pytest.fixture
-def link() -> AgentLink:
-    return AgentLink("127.0.0.1", TIMEOUT)
+def link() -> AgentClient:
+    return AgentClient("127.0.0.1", TIMEOUT)
 
 
 class TestCalls:
     def test_calls_are_made_in_order_on_one_connection(
-        self, engine: FakeEngine, agent: RankAgent, link: AgentLink
+        self, engine: FakeEngine, agent: RankAgent, link: AgentClient
     ) -> None:
         answers = link.ask({agent.address: [REPORT, ORDER]})
         assert answers == {
@@ -64,14 +64,14 @@
         assert engine.connections == 1
 
     def test_paths_outside_the_prefix_are_rejected(
-        self, engine: FakeEngine, agent: RankAgent, link: AgentLink
+        self, engine: FakeEngine, agent: RankAgent, link: AgentClient
     ) -> None:
         asked = link.ask({agent.address: [RankCall("POST", "/letter/1", "x")]})
         assert asked == {agent.address: (NO_RESPONSE,)}
         assert engine.calls == []
 
     def test_an_invalid_datagram_doesnt_stop_an_agent(
-        self, engine: FakeEngine, agent: RankAgent, link: AgentLink
+        self, engine: FakeEngine, agent: RankAgent, link: AgentClient
     ) -> None:
         host, _, port = agent.address.rpartition(":")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
@@ -100,7 +100,7 @@
         assert not link.is_reachable
 
     def test_an_unresponsive_agent_doesnt_delay_the_others(
-        self, agent: RankAgent, link: AgentLink
+        self, agent: RankAgent, link: AgentClient
     ) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
             silent.bind(("127.0.0.1", 0))
@@ -109,7 +109,7 @@
         assert list(answers) == [agent.address]
 
     def test_a_late_reply_isnt_matched_to_another_request(
-        self, link: AgentLink
+        self, link: AgentClient
     ) -> None:
         """Guards against a report from before an order counted as newer."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as agent:
