--- a/mintsaddle/daemon/__init__.py
+++ b/mintsaddle/daemon/__init__.py
@@ -1,6 +1,6 @@
-"""What both roles of the daemon ``mintsaddled`` share."""
+"""The parts that both roles of the daemon ``mintsaddled`` share."""
 
-from mintsaddle.daemon._follow import WATCH_SECONDS, refresh
+from mintsaddle.daemon._follow import WATCH_SECONDS, refresh_configuration
 from mintsaddle.daemon._node import DaemonNode, make_clock
 from mintsaddle.daemon._peers import PeerService
 from mintsaddle.daemon._serve import start_server, wait_for_stop
@@ -10,7 +10,7 @@
     "DaemonNode",
     "PeerService",
     "make_clock",
-    "refresh",
+    "refresh_configuration",
     "start_server",
     "wait_for_stop",
 ]
--- a/mintsaddle/daemon/_follow.py
+++ b/mintsaddle/daemon/_follow.py
@@ -1,4 +1,4 @@
-"""Following the published configuration: by the platform or by a relay."""
+"""Follows the published configuration, from the platform or a peer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,25 +16,25 @@
 from mintsaddle.platform import PlatformValue, watch_value
 
 WATCH_SECONDS = 20.0
-"""Seconds that a watch or a relay's answer may wait for news."""
+"""Seconds that a platform watch or a fetch from a peer waits for a change."""
 
-_PAUSE = 0.5
-_ABSENT_SECONDS = 5.0
+_RETRY_SECONDS = 0.5
+_PEER_BACKOFF_SECONDS = 5.0
 _log = make_logger("configuration")
 
 
 async def follow_configuration(node: DaemonNode) -> None:
-    """Follow the configuration until cancelled."""
-    await _ask_seeds(node)
+    """Fetch and adopt each new configuration until cancelled."""
+    await _fetch_from_seeds(node)
     await asyncio.gather(_follow_text(node), _follow_marks(node), _follow_peers(node))
 
 
-async def refresh(node: DaemonNode) -> None:
-    """Ask once for news, before a leaving daemon says its last word.
+async def refresh_configuration(node: DaemonNode) -> None:
+    """Fetch the configuration once, before a leaving daemon ends.
 
-    Homes that have just moved would otherwise ask a run that has gone.
+    Homes that have just moved would otherwise ask a process that has ended.
     """
-    source = _sources(node)[0]
+    source = _choose_sources(node)[0]
     if source.kind is SourceKind.PEER:
         fleet = node.configuration.fleet
         address = fleet.address_of(source.vm) if fleet else None
@@ -45,15 +45,15 @@
     known = node.configuration.text_revision
     platform = node.settings.platform
     result = await loop.run_in_executor(
-        node.helpers, watch_value, platform, "fleet", known, 0.0
+        node.executor, watch_value, platform, "fleet", known, 0.0
     )
     value = result.value_or(None)
     if value is not None:
         await node.offer_text(value.revision, value.value)
 
 
-async def _ask_seeds(node: DaemonNode) -> None:
-    """Ask the settings' peers, for a start while the platform is down."""
+async def _fetch_from_seeds(node: DaemonNode) -> None:
+    """Ask the peers in the settings, to start while the platform is down."""
     for address in node.settings.peers:
         if await node.fetch(address, 0.0):
             return
@@ -62,57 +62,57 @@
 async def _follow_text(node: DaemonNode) -> None:
     async def adopt(value: PlatformValue) -> None:
         await node.offer_text(value.revision, value.value)
-        node.ask_first_peers()
+        node.ask_startup_peers()
 
-    def newest() -> int:
+    def newest_seen() -> int:
         configuration = node.configuration
-        return _newest(configuration.text_revision, configuration.refused_text)
+        return _newest_seen(configuration.text_revision, configuration.refused_text)
 
-    await _follow_value(node, "fleet", newest, adopt)
+    await _follow_value(node, "fleet", newest_seen, adopt)
 
 
 async def _follow_marks(node: DaemonNode) -> None:
     async def adopt(value: PlatformValue) -> None:
         node.offer_marks(value.revision, value.value)
 
-    def newest() -> int:
+    def newest_seen() -> int:
         configuration = node.configuration
-        return _newest(configuration.marks_revision, configuration.refused_marks)
+        return _newest_seen(configuration.marks_revision, configuration.refused_marks)
 
-    await _follow_value(node, "marks", newest, adopt)
+    await _follow_value(node, "marks", newest_seen, adopt)
 
 
-def _newest(revision: int, refused: RefusedText | None) -> int:
-    """Return the newest revision seen: a refused one isn't asked for again."""
+def _newest_seen(revision: int, refused: RefusedText | None) -> int:
+    """Return the newest revision seen; a refused one isn't fetched again."""
     return max(revision, refused.revision if refused else 0)
 
 
 async def _follow_value(
     node: DaemonNode,
     name: str,
-    newest: Callable[[], int],
+    newest_seen: Callable[[], int],
     adopt: Callable[[PlatformValue], Awaitable[None]],
 ) -> None:
     while True:
-        await _watch_if_reader(node, name, newest(), adopt)
+        await _watch_if_reader(node, name, newest_seen(), adopt)
 
 
 async def _follow_peers(node: DaemonNode) -> None:
     while True:
-        peers = [s for s in _sources(node) if s.kind is SourceKind.PEER]
+        peers = [s for s in _choose_sources(node) if s.kind is SourceKind.PEER]
         if not peers:
-            await asyncio.sleep(_PAUSE)
+            await asyncio.sleep(_RETRY_SECONDS)
             continue
-        node.ask_first_peers()
+        node.ask_startup_peers()
         if not await _follow_peer(node, peers[0]):
-            node.rest_peer(peers[0].vm, node.now() + _ABSENT_SECONDS)
+            node.back_off_peer(peers[0].vm, node.now() + _PEER_BACKOFF_SECONDS)
 
 
-def _sources(node: DaemonNode) -> tuple[Source, ...]:
+def _choose_sources(node: DaemonNode) -> tuple[Source, ...]:
     settings = node.settings
     fleet = node.configuration.fleet
-    absent = node.resting_peers()
-    return choose_sources(fleet, settings.vm, settings.data_centre, absent)
+    backed_off = node.peers_in_backoff()
+    return choose_sources(fleet, settings.vm, settings.data_centre, backed_off)
 
 
 async def _follow_peer(node: DaemonNode, source: Source) -> bool:
@@ -129,31 +129,31 @@
     after: int,
     adopt: Callable[[PlatformValue], Awaitable[None]],
 ) -> None:
-    if _sources(node)[0].kind is SourceKind.PLATFORM:
-        await _watch(node, name, after, adopt)
+    if _choose_sources(node)[0].kind is SourceKind.PLATFORM:
+        await _watch_platform(node, name, after, adopt)
     else:
-        await asyncio.sleep(_PAUSE)
+        await asyncio.sleep(_RETRY_SECONDS)
 
 
-async def _watch(
+async def _watch_platform(
     node: DaemonNode,
     name: str,
     after: int,
     adopt: Callable[[PlatformValue], Awaitable[None]],
 ) -> None:
     loop = node.loop_thread.loop
-    first = node.configuration.fleet is None
-    wait = _PAUSE if first else WATCH_SECONDS
+    is_first = node.configuration.fleet is None
+    wait = _RETRY_SECONDS if is_first else WATCH_SECONDS
     result: Result[PlatformValue | None, str] = await loop.run_in_executor(
-        node.helpers, watch_value, node.settings.platform, name, after, wait
+        node.executor, watch_value, node.settings.platform, name, after, wait
     )
     match result:
         case Success(value):
-            node.record_platform()
+            node.record_platform_answer()
             if value is not None:
                 await adopt(value)
         case Failure(problem):
-            _log.debug("The platform: %s.", problem)
-            # Spread over a second, so that a platform that comes back isn't
-            # met by all readers at once.
-            await asyncio.sleep(_PAUSE + node.rng.random())
+            _log.debug("Platform watch failed: %s.", problem)
+            # Up to a second of jitter keeps all readers from reconnecting at
+            # once when the platform recovers.
+            await asyncio.sleep(_RETRY_SECONDS + node.rng.random())
--- a/mintsaddle/daemon/_node.py
+++ b/mintsaddle/daemon/_node.py
@@ -1,4 +1,4 @@
-"""What both roles share: identity, clock, configuration, connections."""
+"""State that both roles share: clock, configuration, connections."""
 
 import asyncio
 import random
@@ -36,25 +36,25 @@
 from mintsaddle.values import BOOT_BITS, Boot, Clock, Instant, Stamp, render_findings
 
 FETCH_TIMEOUT = 1.0
-"""Seconds for a peer to answer a question that it needn't wait for."""
+"""Seconds for a peer to answer, on top of the wait that a fetch asks for."""
 
-_HELPERS = 8
+_HELPER_THREADS = 8
 _GATE_TIMEOUT = 2.0
 _log = make_logger("configuration")
 
 
 def make_clock() -> Clock:
-    """Return a clock that starts at the machine's time and never steps back.
+    """Return a clock that starts at the system time and never steps back.
 
-    Guards against a clock that is set back in mid-run: deadlines and the dates
-    of keys would be judged by two times within one run.
+    Guards against a system clock that is set back while the daemon runs:
+    deadlines and key dates would then be compared against two time bases.
     """
     offset = time.time() - time.monotonic()
     return lambda: time.monotonic() + offset
 
 
 class DaemonNode:
-    """One run of one daemon; everything here is used in its loop only."""
+    """State of one daemon process, modified only in its event loop."""
 
     def __init__(self, settings: Settings, loop_thread: LoopThread) -> None:
         self._settings = settings
@@ -65,47 +65,47 @@
         self._boot_at = self._clock()
         self._configuration = ConfigurationState()
         self._channels = ChannelPool()
-        self._helpers = ThreadPoolExecutor(_HELPERS, "helper")
-        self._book = HistogramRegistry()
+        self._executor = ThreadPoolExecutor(_HELPER_THREADS, "helper")
+        self._histograms = HistogramRegistry()
         self._gate = ReadinessGate(
             frozenset(), give_up_at=self._boot_at + _GATE_TIMEOUT
         )
         self._changed = asyncio.Event()
-        self._followers: list[Callable[[], None]] = []
+        self._change_listeners: list[Callable[[], None]] = []
         self._pulls: dict[str, asyncio.Task[bool]] = {}
-        self._resting: dict[str, Instant] = {}
+        self._backoff_until: dict[str, Instant] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._control_bytes = 0
         self._leaving = False
 
     @property
     def settings(self) -> Settings:
-        """What the settings file says."""
+        """The settings of this daemon."""
         return self._settings
 
     @property
     def loop_thread(self) -> LoopThread:
-        """The thread of the loop."""
+        """The thread that runs the event loop."""
         return self._loop_thread
 
     @property
     def rng(self) -> random.Random:
-        """The source of randomness that is passed into decisions."""
+        """The random source that is passed to decisions."""
         return self._rng
 
     @property
     def boot(self) -> Boot:
-        """This run."""
+        """Random ID of this daemon process."""
         return self._boot
 
     @property
     def boot_at(self) -> Instant:
-        """When this run started."""
+        """When this daemon process started."""
         return self._boot_at
 
     @property
     def configuration(self) -> ConfigurationState:
-        """The text and marks in force."""
+        """The fleet text and marks in force."""
         return self._configuration
 
     @property
@@ -114,23 +114,23 @@
         return self._channels
 
     @property
-    def helpers(self) -> ThreadPoolExecutor:
-        """Threads for calls that block."""
-        return self._helpers
+    def executor(self) -> ThreadPoolExecutor:
+        """Thread pool for blocking calls."""
+        return self._executor
 
     @property
-    def book(self) -> HistogramRegistry:
+    def histograms(self) -> HistogramRegistry:
         """Histograms of this daemon."""
-        return self._book
+        return self._histograms
 
     @property
     def gate(self) -> ReadinessGate:
-        """What this daemon has asked and heard since its start."""
+        """Which startup peers were asked and which have answered."""
         return self._gate
 
     @property
     def control_bytes(self) -> int:
-        """Bytes of messages between daemons that carry no caller's work."""
+        """Bytes of messages between daemons that carry no caller's request."""
         return self._control_bytes
 
     @property
@@ -139,55 +139,55 @@
         return self._leaving
 
     def now(self) -> Instant:
-        """Return the present instant."""
+        """Return the current time."""
         return self._clock()
 
     def stamp(self) -> Stamp:
-        """Return the stamp of each message."""
+        """Return the stamp that each outgoing message carries."""
         return make_stamp(self._configuration, self._settings.vm, self._boot)
 
     def is_serving(self) -> bool:
-        """Return whether the start gate is open."""
+        """Return whether the readiness gate is open."""
         return is_open(self._gate, self._configuration, self.now())
 
     def mark_leaving(self) -> None:
-        """Note that this daemon was told to stop."""
+        """Record that this daemon was told to stop."""
         self._leaving = True
 
-    def on_change(self, act: Callable[[], None]) -> None:
-        """Call a function each time that text or marks have changed."""
-        self._followers.append(act)
+    def on_change(self, listener: Callable[[], None]) -> None:
+        """Register a listener for changes of the fleet text and the marks."""
+        self._change_listeners.append(listener)
 
-    def rest_peer(self, vm: str, until: Instant) -> None:
-        """Leave a peer that didn't answer alone for a while."""
-        self._resting[vm] = until
+    def back_off_peer(self, vm: str, until: Instant) -> None:
+        """Exclude a peer that didn't answer as a source for a while."""
+        self._backoff_until[vm] = until
 
-    def resting_peers(self) -> frozenset[str]:
-        """Return the peers that are left alone at present."""
+    def peers_in_backoff(self) -> frozenset[str]:
+        """Return the peers that are excluded as sources at present."""
         now = self.now()
-        self._resting = {
-            vm: until for vm, until in self._resting.items() if until > now
+        self._backoff_until = {
+            vm: until for vm, until in self._backoff_until.items() if until > now
         }
-        return frozenset(self._resting)
+        return frozenset(self._backoff_until)
 
-    def count_control(self, *messages: Message) -> None:
-        """Count the bytes of control messages."""
+    def count_control_bytes(self, *messages: Message) -> None:
+        """Add the sizes of control messages to the byte count."""
         for message in messages:
             self._control_bytes += message.ByteSize()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a background task for the daemon's life; report if it breaks."""
+        """Run a background task for the daemon's lifetime; log its failure."""
         task = asyncio.ensure_future(coroutine)
-        # The loop itself holds tasks only weakly.
+        # The loop keeps only weak references to tasks.
         self._tasks.add(task)
         task.add_done_callback(self._record_task_end)
 
-    def record_platform(self) -> None:
-        """Note that the platform has answered."""
+    def record_platform_answer(self) -> None:
+        """Record that the platform has answered."""
         self._gate = self._gate._replace(platform_answered=True)
 
-    def ask_first_peers(self) -> None:
-        """Choose whom to ask before serving, once a text is known."""
+    def ask_startup_peers(self) -> None:
+        """Choose and ask the startup peers, once a fleet text is known."""
         fleet = self._configuration.fleet
         if fleet is None or self._gate.asked:
             return
@@ -200,7 +200,7 @@
                 self.pull_from(address, peer)
 
     def pull_from(self, address: str, peer: str = "") -> "asyncio.Task[bool]":
-        """Fetch a newer configuration from another daemon, once at a time."""
+        """Fetch a newer configuration, once at a time per address."""
         task = self._pulls.get(address)
         if task is None or task.done():
             task = asyncio.ensure_future(self._pull(address, peer))
@@ -208,10 +208,10 @@
         return task
 
     async def catch_up(self, stamp: Stamp, address: str) -> bool:
-        """Pull from a sender that knows more; return whether that is done.
+        """Pull from a sender with a newer text; return whether it is adopted.
 
-        Guards against acting on an old text after a newer one was heard of,
-        which would show as work sent to a data centre that is marked out.
+        Guards against acting on an old text after a newer one was announced,
+        which would send work to a data centre that is marked out.
         """
         if not must_wait_for_text(self._configuration, stamp):
             return True
@@ -220,13 +220,13 @@
         await self.pull_from(address)
         return not must_wait_for_text(self._configuration, stamp)
 
-    def record_stamp(self, stamp: Stamp, address: str) -> None:
-        """Pull in the background from a sender that knows more."""
+    def pull_if_behind(self, stamp: Stamp, address: str) -> None:
+        """Pull in the background if the sender has a newer configuration."""
         if address and must_wait_for_text(self._configuration, stamp):
             self.pull_from(address)
 
     async def fetch(self, address: str, wait: float) -> bool:
-        """Ask a daemon for news and adopt them; return whether it answered."""
+        """Fetch and adopt newer configuration; return whether it answered."""
         request = pb.FetchRequest(
             stamp=write_stamp(self.stamp()), wait_until=self.now() + wait
         )
@@ -234,10 +234,12 @@
         try:
             reply = await stub.Fetch(request, timeout=wait + FETCH_TIMEOUT)
         except Exception as error:
-            _log.debug("No configuration from %s: %s.", address, type(error).__name__)
+            _log.debug(
+                "Configuration fetch from %s failed: %s.", address, type(error).__name__
+            )
             self._channels.drop(address)
             return False
-        self.count_control(request, reply)
+        self.count_control_bytes(request, reply)
         sender = read_stamp(reply.stamp)
         if reply.text:
             text = decompress_value(reply.text)
@@ -247,21 +249,22 @@
             marks = decompress_value(reply.marks)
             if marks is not None:
                 self.offer_marks(sender.marks_revision, marks)
-        # Heard only now: the gate would open before its word is in force.
-        heard = self._gate.answered | {sender.vm}
-        self._gate = self._gate._replace(answered=heard)
+        # Recorded after adoption: otherwise the gate would open before the
+        # peer's configuration is in force.
+        answered = self._gate.answered | {sender.vm}
+        self._gate = self._gate._replace(answered=answered)
         return True
 
     async def offer_text(self, revision: int, text: str) -> None:
-        """Adopt a text if it is newer; the check runs in a helper thread."""
+        """Adopt a text if it is newer; a worker thread validates it."""
         if revision <= self._configuration.text_revision:
             return
         loop = self._loop_thread.loop
-        checked = await loop.run_in_executor(self._helpers, read_fleet, "fleet", text)
+        checked = await loop.run_in_executor(self._executor, read_fleet, "fleet", text)
         adoption = adopt_text(self._configuration, revision, text, lambda *_: checked)
         if adoption is Adoption.ADOPTED:
             _log.info("Fleet text %d is in force.", revision)
-            self._tell_change()
+            self._notify_listeners()
         elif adoption is Adoption.REFUSED and not isinstance(checked, Success):
             findings = render_findings(checked.failure())
             _log.error("Fleet text %d is refused:\n%s", revision, findings)
@@ -271,12 +274,12 @@
         adoption = adopt_marks(self._configuration, revision, text)
         if adoption is Adoption.ADOPTED:
             _log.info("Marks %d are in force.", revision)
-            self._tell_change()
+            self._notify_listeners()
         elif adoption is Adoption.REFUSED:
             _log.error("Marks %d are refused.", revision)
 
     async def wait_for_change(self, stamp: Stamp, wait: float) -> None:
-        """Return once something newer than a stamp is in force, or in time."""
+        """Wait up to ``wait`` seconds for configuration newer than a stamp."""
         deadline = self.now() + wait
         own = self.stamp()
         while not own.is_newer_than(stamp) and self.now() < deadline:
@@ -289,7 +292,7 @@
     def _record_task_end(self, task: "asyncio.Task[None]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            _log.error("A background task broke.", exc_info=task.exception())
+            _log.error("A background task failed.", exc_info=task.exception())
 
     async def _pull(self, address: str, peer: str) -> bool:
         answered = await self.fetch(address, 0.0)
@@ -299,8 +302,8 @@
             )
         return answered
 
-    def _tell_change(self) -> None:
+    def _notify_listeners(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
-        for follower in self._followers:
-            follower()
+        for listener in self._change_listeners:
+            listener()
--- a/mintsaddle/daemon/_peers.py
+++ b/mintsaddle/daemon/_peers.py
@@ -1,4 +1,4 @@
-"""The gRPC service that every daemon offers to the others and to the tool."""
+"""The gRPC service that each daemon offers to other daemons and the CLI."""
 
 import resource
 import time
@@ -12,99 +12,100 @@
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.transport.proto.peer_grpc import PeerBase
 
-LONGEST_WAIT = 30.0
-"""Seconds for which news are waited for, whatever the asker's clock says."""
+MAX_FETCH_WAIT = 30.0
+"""Longest wait of a fetch in seconds, whatever the requester's clock says."""
 
-_KILOBYTE = 1024
+_BYTES_PER_KIB = 1024
 
 
 class PeerService(PeerBase):
-    """Relays the configuration and shows what the daemon does.
+    """Relays the configuration and reports the daemon's status.
 
-    Endpoints answer more: their part is set by the functions given.
+    Endpoint daemons pass handlers for the methods that only they support.
     """
 
     def __init__(
         self,
         node: DaemonNode,
-        describe: Callable[[pb.Status], None],
+        fill_status: Callable[[pb.Status], None],
         answer_home: Callable[[pb.HomeQuestion], pb.HomeAnswer] | None = None,
-        keep_bequest: Callable[[pb.Bequest], None] | None = None,
-        obey_group: Callable[[pb.GroupOrder], Awaitable[pb.GroupReply]] | None = None,
+        store_bequest: Callable[[pb.Bequest], None] | None = None,
+        handle_group_order: Callable[[pb.GroupOrder], Awaitable[pb.GroupReply]]
+        | None = None,
     ) -> None:
         self._node = node
-        self._describe = describe
+        self._fill_status = fill_status
         self._answer_home = answer_home
-        self._keep_bequest = keep_bequest
-        self._obey_group = obey_group
+        self._store_bequest = store_bequest
+        self._handle_group_order = handle_group_order
 
-    async def Fetch(  # noqa: N802 - the generated base names it
+    async def Fetch(  # noqa: N802 - named by the generated base
         self, stream: Stream[pb.FetchRequest, pb.FetchReply]
     ) -> None:
-        """Answer with a newer configuration, at once or when one comes."""
+        """Return a newer configuration, at once or when one is adopted."""
         request = await stream.recv_message()
         if request is None:
             return
-        asker = read_stamp(request.stamp)
-        wait = min(LONGEST_WAIT, request.wait_until - self._node.now())
+        requester = read_stamp(request.stamp)
+        wait = min(MAX_FETCH_WAIT, request.wait_until - self._node.now())
         if wait > 0.0:
-            await self._node.wait_for_change(asker, wait)
+            await self._node.wait_for_change(requester, wait)
         reply = compress_configuration(
-            self._node.configuration, asker, self._node.stamp()
+            self._node.configuration, requester, self._node.stamp()
         )
-        self._node.count_control(request, reply)
+        self._node.count_control_bytes(request, reply)
         await stream.send_message(reply)
 
     async def AskHome(  # noqa: N802
         self, stream: Stream[pb.HomeQuestion, pb.HomeAnswer]
     ) -> None:
-        """Say where this home stands."""
+        """Report the state of a home."""
         request = await stream.recv_message()
         if request is None or self._answer_home is None:
             return
         reply = self._answer_home(request)
-        self._node.count_control(request, reply)
+        self._node.count_control_bytes(request, reply)
         await stream.send_message(reply)
 
     async def Keep(  # noqa: N802
         self, stream: Stream[pb.Bequest, pb.Kept]
     ) -> None:
-        """Keep the ledger of a home that leaves."""
+        """Store the ledger of a home that leaves."""
         request = await stream.recv_message()
-        if request is None or self._keep_bequest is None:
+        if request is None or self._store_bequest is None:
             return
-        self._keep_bequest(request)
+        self._store_bequest(request)
         reply = pb.Kept(stamp=write_stamp(self._node.stamp()))
-        self._node.count_control(request, reply)
+        self._node.count_control_bytes(request, reply)
         await stream.send_message(reply)
 
     async def OrderGroup(  # noqa: N802
         self, stream: Stream[pb.GroupOrder, pb.GroupReply]
     ) -> None:
-        """Obey a coordinator of a rank group."""
+        """Execute an order from the coordinator of a rank group."""
         request = await stream.recv_message()
-        if request is None or self._obey_group is None:
+        if request is None or self._handle_group_order is None:
             return
-        reply = await self._obey_group(request)
-        self._node.count_control(request, reply)
+        reply = await self._handle_group_order(request)
+        self._node.count_control_bytes(request, reply)
         await stream.send_message(reply)
 
     async def ShowStatus(  # noqa: N802
         self, stream: Stream[pb.StatusRequest, pb.Status]
     ) -> None:
-        """Show what this daemon does and why."""
+        """Report the status of this daemon."""
         await stream.recv_message()
-        status = describe_node(self._node)
-        self._describe(status)
+        status = make_status(self._node)
+        self._fill_status(status)
         await stream.send_message(status)
 
     async def ShowHistograms(  # noqa: N802
         self, stream: Stream[pb.StatusRequest, pb.HistogramReply]
     ) -> None:
-        """Show each histogram in figures and in its mergeable form."""
+        """Return each histogram's statistics and its mergeable encoding."""
         await stream.recv_message()
         reply = pb.HistogramReply(stamp=write_stamp(self._node.stamp()))
-        for summary in self._node.book.summarise():
+        for summary in self._node.histograms.summarise():
             reply.histograms.add(
                 workspace=summary.key.workspace,
                 work_class=summary.key.work_class,
@@ -119,15 +120,15 @@
         await stream.send_message(reply)
 
 
-def describe_node(node: DaemonNode) -> pb.Status:
-    """Return the part of a status that both roles share."""
+def make_status(node: DaemonNode) -> pb.Status:
+    """Return a status with the fields that both roles share."""
     settings = node.settings
     status = pb.Status(
         stamp=write_stamp(node.stamp()),
         role=settings.role.value,
         data_centre=settings.data_centre,
         serving=node.is_serving() and not node.leaving,
-        not_serving=_why_not(node),
+        not_serving=_not_serving_reason(node),
         cpu_seconds=time.process_time(),
         memory_bytes=_memory_bytes(),
         control_bytes=node.control_bytes,
@@ -138,7 +139,7 @@
     return status
 
 
-def _why_not(node: DaemonNode) -> str:
+def _not_serving_reason(node: DaemonNode) -> str:
     if node.leaving:
         return "leaving"
     if not node.is_serving():
@@ -149,4 +150,4 @@
 
 
 def _memory_bytes() -> int:
-    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _KILOBYTE
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _BYTES_PER_KIB
--- a/mintsaddle/daemon/_serve.py
+++ b/mintsaddle/daemon/_serve.py
@@ -1,4 +1,4 @@
-"""Starting the loop and the gRPC server, and waiting for the word to stop."""
+"""Start of the gRPC server, and the wait for a stop signal."""
 
 import signal
 import threading
@@ -11,12 +11,12 @@
 from mintsaddle.daemon._node import DaemonNode
 from mintsaddle.observe import make_logger
 
-_SIGNAL_POLL = 0.5
+_SIGNAL_POLL_SECONDS = 0.5
 _log = make_logger("daemon")
 
 
 async def start_server(node: DaemonNode, services: Sequence[Any]) -> Server:
-    """Start serving other daemons and following the configuration."""
+    """Start the gRPC server and follow the configuration."""
     server = Server(list(services))
     host, _, port = node.settings.address.rpartition(":")
     await server.start(host.strip("[]"), int(port))
@@ -26,11 +26,11 @@
 
 
 def wait_for_stop() -> None:
-    """Return once SIGTERM or SIGINT has come; for the main thread."""
+    """Block until SIGTERM or SIGINT; must run in the main thread."""
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
-    # A wait without a limit would keep Python from running the handler.
-    while not stop.wait(_SIGNAL_POLL):
+    # A wait without a timeout would keep Python from running the handler.
+    while not stop.wait(_SIGNAL_POLL_SECONDS):
         pass
-    _log.info("Told to stop.")
+    _log.info("Received a stop signal.")
--- a/mintsaddle/endpoint/_coordinator.py
+++ b/mintsaddle/endpoint/_coordinator.py
@@ -136,7 +136,7 @@
             plan_moves, self._make_ballot(), current, self._counts.counts, speeds, cost
         )
         loop = self._node.loop_thread.loop
-        return await loop.run_in_executor(self._node.helpers, plan)
+        return await loop.run_in_executor(self._node.executor, plan)
 
     async def _run_round(self, wanted: ExpertMap | None) -> SwitchRound:
         group = self._host.group
@@ -183,7 +183,7 @@
             _log.debug("Rank at %s is silent: %s.", vm, type(error).__name__)
             self._node.channels.drop(address)
             return None
-        self._node.count_control(message, reply)
+        self._node.count_control_bytes(message, reply)
         return reply
 
     def _make_ballot(self) -> int:
--- a/mintsaddle/endpoint/_homes.py
+++ b/mintsaddle/endpoint/_homes.py
@@ -48,7 +48,7 @@
     asker = read_stamp(message.stamp)
     fleet = node.configuration.fleet
     address = fleet.address_of(asker.vm) if fleet else None
-    node.record_stamp(asker, address or "")
+    node.pull_if_behind(asker, address or "")
     question = read_home_question(message)
     answer = answer_question(orders, question, node.configuration.text_revision)
     return write_home_answer(answer, node.stamp())
@@ -99,8 +99,8 @@
         _log.debug("No answer from home %s: %s.", vm, type(error).__name__)
         node.channels.drop(address)
         return
-    node.count_control(request, reply)
-    node.record_stamp(read_stamp(reply.stamp), address)
+    node.count_control_bytes(request, reply)
+    node.pull_if_behind(read_stamp(reply.stamp), address)
     answer = read_home_answer(reply)
     revision = node.configuration.text_revision
     record_answer(orders, answer, revision, fleet.clock_bound, node.now())
--- a/mintsaddle/endpoint/_ranks.py
+++ b/mintsaddle/endpoint/_ranks.py
@@ -122,7 +122,7 @@
         loop = self._node.loop_thread.loop
         send = functools.partial(send_group_order, engine, act, order)
         result: Result[dict[str, Any], str] = await loop.run_in_executor(
-            self._node.helpers, send
+            self._node.executor, send
         )
         if not isinstance(result, Success):
             _log.warning("The engine did not answer '%s': %s.", act, result.failure())
--- a/mintsaddle/endpoint/_run.py
+++ b/mintsaddle/endpoint/_run.py
@@ -7,7 +7,7 @@
 from mintsaddle.daemon import (
     DaemonNode,
     PeerService,
-    refresh,
+    refresh_configuration,
     start_server,
     wait_for_stop,
 )
@@ -66,10 +66,10 @@
     node.on_change(groups.follow)
     peers = PeerService(
         node,
-        describe=lambda status: describe_endpoint(host, groups, status),
+        fill_status=lambda status: describe_endpoint(host, groups, status),
         answer_home=lambda question: answer_home(node, state.orders, question),
-        keep_bequest=lambda gift: keep_bequest(state.orders, read_bequest(gift)),
-        obey_group=groups.obey,
+        store_bequest=lambda gift: keep_bequest(state.orders, read_bequest(gift)),
+        handle_group_order=groups.obey,
     )
     await start_server(node, [peers, CallService(host)])
     node.spawn(_keep_probing(host))
@@ -81,7 +81,7 @@
     """Refuse new work at once and finish what is in flight."""
     host.node.mark_leaving()
     host.perform(start_leaving(host.state, host.node.now()))
-    await refresh(host.node)
+    await refresh_configuration(host.node)
     while not may_exit(host.state, host.node.now()):
         await asyncio.sleep(_IDLE_PAUSE)
     await leave_ledger(host.node, host.state.orders)
@@ -96,7 +96,7 @@
     while True:
         engine = node.settings.engine
         asked_at = node.now()
-        match await loop.run_in_executor(node.helpers, probe_engine, engine):
+        match await loop.run_in_executor(node.executor, probe_engine, engine):
             case Success(sight):
                 actions = handle_engine_up(
                     host.state, sight.boot, sight.limit, asked_at
--- a/mintsaddle/entry/_answers.py
+++ b/mintsaddle/entry/_answers.py
@@ -1,4 +1,4 @@
-"""The answers that an entry gives over HTTP besides a service's own."""
+"""HTTP responses of the entry itself, as opposed to those of a service."""
 
 import json
 import math
@@ -21,19 +21,19 @@
 }
 
 
-class FinalWord(NamedTuple):
-    """The last event of a stream, or the body of a refusal."""
+class FinalResult(NamedTuple):
+    """How a call ended: a stream's last event or an error response's body."""
 
     outcome: Outcome
     reason: Reason | None
     retry_at: Instant
     delivered: int
     key: OrderKey | None
-    fresh: OrderKey | None = None
-    """For an order that did not run: the key to come back with."""
+    fresh_key: OrderKey | None = None
+    """New key to retry with, for an order that did not run."""
 
     def to_json(self) -> bytes:
-        """Return the JSON form; absent parts are left out."""
+        """Return the JSON form without unset fields."""
         parts: dict[str, str | int | float] = {"outcome": self.outcome.value}
         if self.reason is not None:
             parts["reason"] = self.reason.value
@@ -41,15 +41,15 @@
             parts["retry_at"] = round(self.retry_at, 3)
         if self.key is not None:
             parts["key"] = self.key.text
-        if self.fresh is not None:
-            parts["fresh_key"] = self.fresh.text
+        if self.fresh_key is not None:
+            parts["fresh_key"] = self.fresh_key.text
         parts["count"] = self.delivered
         return json.dumps(parts).encode()
 
 
-def word_of(finish: FinishCall) -> FinalWord:
-    """Return the final word of a call."""
-    return FinalWord(
+def make_final_result(finish: FinishCall) -> FinalResult:
+    """Return the final result of a finished call."""
+    return FinalResult(
         finish.outcome,
         finish.reason,
         finish.retry_at,
@@ -59,29 +59,31 @@
     )
 
 
-def answer_word(start: StartResponse, word: FinalWord, now: Instant) -> Iterable[bytes]:
-    """Answer with a final word that is no answer of the service."""
-    body = word.to_json()
+def respond_with_result(
+    start_response: StartResponse, result: FinalResult, now: Instant
+) -> Iterable[bytes]:
+    """Respond with a result in place of the service's response."""
+    body = result.to_json()
     headers = [
         ("Content-Type", JSON_TYPE),
         ("Content-Length", str(len(body))),
-        ("Mintsaddle-Outcome", word.outcome.value),
-        ("Retry-After", str(max(1, math.ceil(word.retry_at - now)))),
+        ("Mintsaddle-Outcome", result.outcome.value),
+        ("Retry-After", str(max(1, math.ceil(result.retry_at - now)))),
     ]
-    headers += key_header(word.key)
-    if word.fresh is not None:
-        headers.append(("Fresh-Key", word.fresh.text))
-    start(_STATUSES[word.outcome], headers)
+    headers += key_headers(result.key)
+    if result.fresh_key is not None:
+        headers.append(("Fresh-Key", result.fresh_key.text))
+    start_response(_STATUSES[result.outcome], headers)
     return [body]
 
 
-def answer_problem(
-    start: StartResponse, problem: Problem, *, has_key: bool
+def respond_with_problem(
+    start_response: StartResponse, problem: Problem, *, has_key: bool
 ) -> Iterable[bytes]:
-    """Answer a bad request.
+    """Reject an invalid request.
 
-    With a key nothing is claimed: an earlier attempt under it may have come
-    to its home by another entry.
+    A request with a key isn't reported as not run: an earlier attempt with the
+    same key may have reached its home through another entry.
     """
     outcome = Outcome.ASK_AGAIN if has_key else Outcome.NOT_RUN
     parts = {"outcome": outcome.value, "problem": problem.text}
@@ -91,15 +93,15 @@
         ("Content-Length", str(len(body))),
         ("Mintsaddle-Outcome", outcome.value),
     ]
-    start(problem.status, headers)
+    start_response(problem.status, headers)
     return [body]
 
 
-def key_header(key: OrderKey | None) -> list[tuple[str, str]]:
-    """Return the header that tells a caller its key, if there is one."""
+def key_headers(key: OrderKey | None) -> list[tuple[str, str]]:
+    """Return the ``Idempotency-Key`` header, or none without a key."""
     return [("Idempotency-Key", key.text)] if key else []
 
 
 def status_line(status: int) -> str:
-    """Return WSGI's status for a service's status."""
+    """Return the WSGI status line for a service's status code."""
     return f"{status} {'OK' if status == 200 else 'From the service'}"
--- a/mintsaddle/entry/_calls.py
+++ b/mintsaddle/entry/_calls.py
@@ -1,4 +1,4 @@
-"""Carrying out what the call decisions ask for."""
+"""Executes call decisions: sends attempts, sets timers, delivers replies."""
 
 import asyncio
 from queue import SimpleQueue
@@ -40,19 +40,19 @@
 _log = make_logger("entry")
 
 Delivery = DeliverHead | DeliverChunk | FinishCall
-"""What the caller's thread gets."""
+"""A message from the event loop to the caller's thread."""
 
 
-class CallerMessage(NamedTuple):
-    """A caller's HTTP request, as it is passed on."""
+class ForwardedRequest(NamedTuple):
+    """The parts of a caller's HTTP request that are sent to an endpoint."""
 
     method: str
     path: str
     content_type: str
     body: bytes
 
-    def fill(self, message: pb.CallRequest) -> None:
-        """Write the HTTP part of a message to an endpoint daemon."""
+    def write_to(self, message: pb.CallRequest) -> None:
+        """Copy the HTTP parts into a message to an endpoint daemon."""
         message.method = self.method
         message.path = self.path
         message.content_type = self.content_type
@@ -60,45 +60,45 @@
 
 
 class Outbox:
-    """Deliveries of one turn of the loop, given out at its end.
+    """Batches the deliveries of a loop iteration and flushes them at its end.
 
-    Each one wakes a thread, which then asks for the interpreter's lock. Given
-    out in the midst of a turn, they would take it from the loop again and
-    again, and each call's first token would wait for many such turns.
+    Each delivery wakes a thread, which then contends for the GIL. If sent in
+    the middle of an iteration, they would take the GIL from the loop again and
+    again, and the first token of each call would wait for many iterations.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._waiting: list[tuple[SimpleQueue[Delivery], Delivery]] = []
+        self._pending: list[tuple[SimpleQueue[Delivery], Delivery]] = []
 
     def put(self, target: "SimpleQueue[Delivery]", delivery: Delivery) -> None:
-        """Add a delivery; in the loop."""
-        if not self._waiting:
-            self._loop.call_soon(self._give_out)
-        self._waiting.append((target, delivery))
-
-    def _give_out(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for target, delivery in waiting:
+        """Queue a delivery; must be called in the loop."""
+        if not self._pending:
+            self._loop.call_soon(self._flush)
+        self._pending.append((target, delivery))
+
+    def _flush(self) -> None:
+        pending, self._pending = self._pending, []
+        for target, delivery in pending:
             target.put(delivery)
 
 
 class EntryCall:
-    """One caller's request, moved on in the loop and awaited in a thread."""
+    """One caller's request: processed in the loop, awaited by a thread."""
 
     def __init__(
         self,
         node: DaemonNode,
         routing: RoutingState,
         request: CallRequest,
-        message: CallerMessage,
+        forwarded: ForwardedRequest,
         outbox: Outbox,
     ) -> None:
         self._node = node
         self._outbox = outbox
         self._routing = routing
         self._state = CallState(request)
-        self._message = message
+        self._forwarded = forwarded
         self._deliveries: SimpleQueue[Delivery] = SimpleQueue()
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -110,29 +110,29 @@
 
     @property
     def deliveries(self) -> "SimpleQueue[Delivery]":
-        """What the caller's thread waits for."""
+        """The queue that the caller's thread reads."""
         return self._deliveries
 
     def start(self) -> None:
-        """Begin; in the loop."""
-        facts = self._facts()
-        self._perform(start_call(self._state, facts, self._node.now()))
+        """Start the first attempt; must be called in the loop."""
+        context = self._routing_context()
+        self._perform(start_call(self._state, context, self._node.now()))
         self._set_timer()
 
-    def leave(self) -> None:
-        """Note that the caller hung up; in the loop."""
+    def handle_disconnect(self) -> None:
+        """Handle the caller's disconnect; must be called in the loop."""
         self._handle(CallerDisconnected())
 
-    def _facts(self) -> RoutingContext:
+    def _routing_context(self) -> RoutingContext:
         configuration = self._node.configuration
         fleet = configuration.fleet
-        # Calls are only begun by a daemon that serves, which has a text.
+        # A daemon starts calls only while it serves, so it has a fleet text.
         assert fleet is not None
         return RoutingContext(fleet, configuration.marks, self._routing, self._node.rng)
 
     def _handle(self, event: CallEvent) -> None:
         now = self._node.now()
-        self._perform(handle_event(self._state, self._facts(), event, now))
+        self._perform(handle_event(self._state, self._routing_context(), event, now))
 
     def _perform(self, actions: tuple[CallAction, ...]) -> None:
         for action in actions:
@@ -149,10 +149,10 @@
             self._timer.cancel()
 
     def _set_timer(self) -> None:
-        """Wake the call when it next wants to look at the time.
+        """Schedule the timer for the call's next deadline.
 
-        The timeout moves on with each chunk; the timer is set again only
-        when it fires, since setting it for each chunk would cost more.
+        Each chunk extends the deadline, but the timer is rescheduled only when
+        it fires: rescheduling it for each chunk would cost more.
         """
         if self._state.over:
             return
@@ -160,9 +160,9 @@
             self._timer.cancel()
         wait = max(0.0, next_deadline(self._state) - self._node.now())
         loop = self._node.loop_thread.loop
-        self._timer = loop.call_later(wait, self._wake)
+        self._timer = loop.call_later(wait, self._on_timer)
 
-    def _wake(self) -> None:
+    def _on_timer(self) -> None:
         if self._state.over:
             return
         if self._node.now() >= next_deadline(self._state):
@@ -171,7 +171,7 @@
 
     async def _run_attempt(self, action: SendAttempt) -> None:
         number = action.attempt
-        address = self._facts().fleet.endpoints[action.endpoint].address
+        address = self._routing_context().fleet.endpoints[action.endpoint].address
         channel = self._node.channels.open(address)
         try:
             await channel.__connect__()
@@ -182,10 +182,11 @@
         try:
             await self._exchange(action, channel, address)
         except Exception as error:
-            # Cancelled streams raise nothing here; all else means that the
-            # way to the endpoint daemon broke after the request had left.
+            # Cancellation isn't caught here. Any other error means that the
+            # connection to the endpoint daemon failed after the request was
+            # sent.
             name = type(error).__name__
-            _log.debug("Attempt at %s broke: %s.", action.endpoint, name)
+            _log.debug("Attempt at %s failed: %s.", action.endpoint, name)
         self._handle(AttemptFailed(number, sent=True))
 
     async def _exchange(
@@ -195,7 +196,7 @@
         async with stub.Call.open() as stream:
             await stream.send_message(self._make_message(action), end=True)
             async for reply in stream:
-                self._take_reply(action, reply, address)
+                self._handle_reply(action, reply, address)
 
     def _make_message(self, action: SendAttempt) -> pb.CallRequest:
         request = self._state.request
@@ -210,40 +211,40 @@
             resume_after=action.resume_after,
             sender_address=self._node.settings.address,
         )
-        self._message.fill(message)
+        self._forwarded.write_to(message)
         return message
 
-    def _take_reply(
+    def _handle_reply(
         self, action: SendAttempt, reply: pb.CallReply, address: str
     ) -> None:
         number = action.attempt
-        word = reply.WhichOneof("word")
-        if word == "chunks":
+        kind = reply.WhichOneof("word")
+        if kind == "chunks":
             sequence = reply.chunks.first
             for data in reply.chunks.data:
                 self._handle(ChunkArrived(number, sequence, data))
                 sequence += 1
             return
         stamp = read_stamp(reply.stamp)
-        self._node.record_stamp(stamp, address)
+        self._node.pull_if_behind(stamp, address)
         load = read_load(reply.load)
         now = self._node.now()
         record_load(self._routing, action.endpoint, stamp.boot, load, now)
-        if word == "accepted":
+        if kind == "accepted":
             self._handle(AttemptAccepted(number))
-        elif word == "refused":
+        elif kind == "refused":
             self._handle(AttemptRefused(number, read_refusal(reply.refused)))
-        elif word == "head":
+        elif kind == "head":
             head = reply.head
             self._handle(HeadArrived(number, head.status, head.content_type))
-        elif word == "end":
+        elif kind == "end":
             self._handle(EndArrived(number, reply.end.count))
-        elif word == "broken":
+        elif kind == "broken":
             self._handle(AttemptFailed(number, sent=True))
 
 
 def unknown_homes(fleet: Fleet, routing: RoutingState) -> tuple[str, ...]:
-    """Return the homes that this entry may issue keys for but doesn't know."""
+    """Return the homes to issue keys for whose boot ID isn't known yet."""
     return tuple(
         name
         for service in fleet.services.values()
--- a/mintsaddle/entry/_requests.py
+++ b/mintsaddle/entry/_requests.py
@@ -1,4 +1,4 @@
-"""Reading a caller's HTTP request: headers, key, deadline, workspace."""
+"""Parsing of callers' HTTP requests: path, headers, key and deadline."""
 
 import uuid
 from collections.abc import Mapping
@@ -10,30 +10,30 @@
 from mintsaddle.fleet import Fleet, Service
 from mintsaddle.values import Instant, OrderKey, parse_key, stable_hash
 
-LARGEST_BODY = 8 * 1_048_576
-"""Bytes of a caller's request."""
+MAX_BODY_BYTES = 8 * 1_048_576
+"""Maximum size of a request body in bytes."""
 
 _PREFIX_BYTES = 512
-_HIGHEST_PRIORITY = 9
+_MAX_PRIORITY = 9
 
 
 class Problem(NamedTuple):
-    """Why a request can't be taken; it has not run."""
+    """Why a request is rejected before it runs."""
 
     status: str
     text: str
 
 
 class Target(NamedTuple):
-    """What the path names."""
+    """The service that a request path addresses."""
 
     service: Service
     wants_key: bool
-    """Whether the caller asks for a key to be issued."""
+    """Whether the request asks for a new idempotency key."""
 
 
 def read_target(environ: Mapping[str, Any], fleet: Fleet) -> Result[Target, Problem]:
-    """Return the service that a path names."""
+    """Return the service that the path addresses."""
     path = str(environ.get("PATH_INFO", ""))
     name, _, rest = path.lstrip("/").partition("/")
     service = fleet.services.get(name)
@@ -52,7 +52,7 @@
     now: Instant,
     body: bytes,
 ) -> Result[CallRequest, Problem]:
-    """Return the typed request, or all that is wrong with its headers."""
+    """Return the parsed request, or a problem that lists all header errors."""
     problems: list[str] = []
     workspace = _read_workspace(environ, fleet, service, problems)
     deadline = _read_deadline(environ, service, now, problems)
@@ -63,8 +63,8 @@
     prefix = body[:_PREFIX_BYTES].decode(errors="replace")
     return Success(
         CallRequest(
-            # Never the caller's own: two callers might bring the same, and an
-            # endpoint daemon takes the second one for a doubled message.
+            # Never the caller's own ID: if two callers sent the same one, an
+            # endpoint daemon would treat the second as a duplicate message.
             request_id=str(uuid.uuid4()),
             service=service,
             workspace=workspace,
@@ -91,7 +91,7 @@
 def _read_deadline(
     environ: Mapping[str, Any], service: Service, now: Instant, problems: list[str]
 ) -> Instant:
-    """Return the instant of a ``Deadline``, or of a ``Timeout`` from now."""
+    """Return the deadline from ``Deadline`` (absolute) or ``Timeout``."""
     for header, base in (("Deadline", 0.0), ("Timeout", now)):
         text = environ.get(f"HTTP_{header.upper()}")
         if text is None:
@@ -101,7 +101,8 @@
         except ValueError:
             problems.append(f"{header}: '{text}' is not a number of seconds")
             return now
-        # A caller may ask for less time than the service gives, not for more.
+        # A caller can shorten the service's time limit, not extend it. NaN
+        # differs from itself and is rejected below.
         if deadline == deadline:
             return min(deadline, now + service.longest)
         problems.append(f"{header}: '{text}' is not a number of seconds")
@@ -110,9 +111,9 @@
 
 def _read_priority(environ: Mapping[str, Any], problems: list[str]) -> int:
     text = str(environ.get("HTTP_PRIORITY", "0"))
-    if text.isdecimal() and int(text) <= _HIGHEST_PRIORITY:
+    if text.isdecimal() and int(text) <= _MAX_PRIORITY:
         return int(text)
-    problems.append(f"Priority: '{text}' is not a number from 0 to {_HIGHEST_PRIORITY}")
+    problems.append(f"Priority: '{text}' is not a number from 0 to {_MAX_PRIORITY}")
     return 0
 
 
--- a/mintsaddle/entry/_run.py
+++ b/mintsaddle/entry/_run.py
@@ -1,4 +1,4 @@
-"""Running an entry daemon from its start to its end."""
+"""Startup, service and graceful shutdown of an entry daemon."""
 
 import asyncio
 import threading
@@ -19,15 +19,15 @@
 from mintsaddle.transport.proto.peer_grpc import PeerStub
 from mintsaddle.values import Load
 
-_IDLE_PAUSE = 0.05
-_LOOK_PAUSE = 0.5
-_LOOK_TIMEOUT = 1.0
+_DRAIN_POLL_SECONDS = 0.05
+_HOME_POLL_SECONDS = 0.5
+_HOME_POLL_TIMEOUT = 1.0
 _BACKLOG = 1024
 _log = make_logger("entry")
 
 
 def run_entry(settings: Settings) -> int:
-    """Run an entry daemon until it is told to stop, and let answers finish."""
+    """Run an entry daemon until a stop signal, then finish open calls."""
     loop_thread = LoopThread("mintsaddle")
     node = DaemonNode(settings, loop_thread)
     routing = RoutingState(settings.vm, settings.data_centre)
@@ -45,42 +45,42 @@
     loop_thread.start()
     loop_thread.submit(_start(node, routing, app)).result()
     threading.Thread(target=server.run, name="http", daemon=True).start()
-    _log.info("Callers are served at %s.", settings.http)
+    _log.info("Serving HTTP at %s.", settings.http)
     wait_for_stop()
-    _leave(node, app)
+    _drain(node, app)
     server.close()
     loop_thread.stop()
-    _log.info("Stopped with nothing cut off.")
+    _log.info("Stopped after all calls ended.")
     return 0
 
 
-def _leave(node: DaemonNode, app: EntryApp) -> None:
-    """Fail the health check, serve on for the grace, finish what is open.
+def _drain(node: DaemonNode, app: EntryApp) -> None:
+    """Fail the health check, serve for the grace period, finish open calls.
 
-    The balancer notices a failed check some time later; a caller that it
-    still sends until then is served, so that a planned stop hurts nobody.
+    The HTTP load balancer notices the failed check with a delay. Requests that
+    it still sends until then are served, so that a planned stop fails none.
     """
     node.mark_leaving()
-    stop_at = node.now() + node.settings.grace
-    app.stop_at(stop_at)
-    while node.now() < stop_at or app.open_calls:
-        time.sleep(_IDLE_PAUSE)
+    refuse_at = node.now() + node.settings.grace
+    app.refuse_after(refuse_at)
+    while node.now() < refuse_at or app.open_calls:
+        time.sleep(_DRAIN_POLL_SECONDS)
 
 
 async def _start(node: DaemonNode, routing: RoutingState, app: EntryApp) -> None:
-    node.on_change(_make_follower(node, routing, app))
-    peers = PeerService(node, describe=lambda status: _describe(app, status))
+    node.on_change(_make_change_listener(node, routing, app))
+    peers = PeerService(node, fill_status=lambda status: _fill_status(app, status))
     await start_server(node, [peers])
-    node.spawn(_keep_looking(node, routing, app))
+    node.spawn(_poll_unknown_homes(node, routing, app))
 
 
-def _make_follower(
+def _make_change_listener(
     node: DaemonNode, routing: RoutingState, app: EntryApp
 ) -> Callable[[], None]:
-    """Return what to do when text or marks have changed."""
+    """Return a listener for changes of the fleet text and the marks."""
     out: set[str] = set()
 
-    def follow() -> None:
+    def apply_change() -> None:
         configuration = node.configuration
         fleet = configuration.fleet
         if fleet is None:
@@ -90,30 +90,32 @@
         out.clear()
         out.update(now_out)
         if is_out(configuration, node.settings.vm):
-            app.stop_at(node.now() + node.settings.grace)
+            app.refuse_after(node.now() + node.settings.grace)
         elif not node.leaving:
-            app.stop_at(float("inf"))
+            app.refuse_after(float("inf"))
 
-    return follow
+    return apply_change
 
 
-async def _keep_looking(node: DaemonNode, routing: RoutingState, app: EntryApp) -> None:
-    """Learn the runs of homes that this entry hasn't heard from.
+async def _poll_unknown_homes(
+    node: DaemonNode, routing: RoutingState, app: EntryApp
+) -> None:
+    """Ask homes whose boot ID this entry doesn't know yet.
 
-    An issued key names the home's run, which rides on each of its replies;
-    before the first one somebody has to ask.
+    An issued key contains the boot ID of its home. Each reply of the home
+    carries it, but before the first reply the entry has to ask for it.
     """
     while True:
         fleet = node.configuration.fleet
         if fleet is not None:
             names = unknown_homes(fleet, routing)
-            looks = (_poll_endpoint(node, routing, name) for name in names)
-            await asyncio.gather(*looks)
-            app.mark_looked()
-        await node.wait_for_change(node.stamp(), _LOOK_PAUSE)
+            polls = (_poll_home(node, routing, name) for name in names)
+            await asyncio.gather(*polls)
+            app.mark_homes_polled()
+        await node.wait_for_change(node.stamp(), _HOME_POLL_SECONDS)
 
 
-async def _poll_endpoint(node: DaemonNode, routing: RoutingState, name: str) -> None:
+async def _poll_home(node: DaemonNode, routing: RoutingState, name: str) -> None:
     fleet = node.configuration.fleet
     address = fleet.address_of(name) if fleet else None
     if address is None:
@@ -121,17 +123,17 @@
     stub = PeerStub(node.channels.open(address))
     request = pb.StatusRequest(stamp=write_stamp(node.stamp()))
     try:
-        status = await stub.ShowStatus(request, timeout=_LOOK_TIMEOUT)
+        status = await stub.ShowStatus(request, timeout=_HOME_POLL_TIMEOUT)
     except Exception as error:
-        _log.debug("Home %s is silent: %s.", name, type(error).__name__)
+        _log.debug("Home %s did not answer: %s.", name, type(error).__name__)
         node.channels.drop(address)
         return
-    node.count_control(request, status)
+    node.count_control_bytes(request, status)
     stamp = read_stamp(status.stamp)
-    node.record_stamp(stamp, address)
+    node.pull_if_behind(stamp, address)
     load: Load = read_load(status.load)
     record_load(routing, name, stamp.boot, load, node.now())
 
 
-def _describe(app: EntryApp, status: pb.Status) -> None:
+def _fill_status(app: EntryApp, status: pb.Status) -> None:
     status.load.in_flight = app.open_calls
--- a/mintsaddle/entry/tests/test_requests.py
+++ b/mintsaddle/entry/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests, and answering bad ones."""
+"""Tests for parsing callers' requests and rejecting invalid ones."""
 
 import json
 from typing import Any
@@ -6,7 +6,7 @@
 import pytest
 from returns.result import Failure
 
-from mintsaddle.entry._answers import answer_problem
+from mintsaddle.entry._answers import respond_with_problem
 from mintsaddle.entry._requests import Problem, read_request, read_target
 from mintsaddle.fleet import read_fleet
 
@@ -31,7 +31,7 @@
 """
 FLEET = read_fleet("fleet", TEXT).unwrap()
 NOW = 1_800_000_000.0
-BROUGHT = "01938a3c-8000-7000-8000-000000000001"
+CLIENT_KEY = "01938a3c-8000-7000-8000-000000000001"
 
 
 def environ(**headers: str) -> dict[str, Any]:
@@ -102,11 +102,11 @@
         assert result.failure().text.count(";") == 2 + 1
 
     def test_key_of_an_order_is_read(self) -> None:
-        given = environ(IDEMPOTENCY_KEY=BROUGHT)
+        given = environ(IDEMPOTENCY_KEY=CLIENT_KEY)
         request = read_request(given, FLEET, FLEET.services["orders"], NOW, b"")
         key = request.unwrap().key
         assert key is not None
-        assert key.text == BROUGHT
+        assert key.text == CLIENT_KEY
 
 
 class TestAnswerProblem:
@@ -114,9 +114,11 @@
         ("has_key", "outcome"), [(False, "not-run"), (True, "ask-again")]
     )
     def test_nothing_is_claimed_of_a_key(self, has_key: bool, outcome: str) -> None:
-        """Guards against a claim about a key whose first attempt runs."""
+        """Guards against ``not-run`` for a key whose first attempt may run."""
         seen: list[tuple[str, str]] = []
         problem = Problem("400 Bad Request", "Timeout: 'x' is not a number")
-        body = answer_problem(lambda _, h: seen.extend(h), problem, has_key=has_key)
+        body = respond_with_problem(
+            lambda _, h: seen.extend(h), problem, has_key=has_key
+        )
         assert ("Mintsaddle-Outcome", outcome) in seen
         assert json.loads(b"".join(body))["outcome"] == outcome
