--- a/mintsaddle/daemon/_node.py
+++ b/mintsaddle/daemon/_node.py
@@ -39,7 +39,7 @@
 """Seconds for a peer to answer, on top of the wait that a fetch asks for."""
 
 _HELPER_THREADS = 8
-_GATE_TIMEOUT = 2.0
+_GATE_TIMEOUT_SECONDS = 2.0
 _log = make_logger("configuration")
 
 
@@ -54,7 +54,7 @@
 
 
 class DaemonNode:
-    """State of one daemon process, modified only in its event loop."""
+    """State of one daemon process, owned by its event loop."""
 
     def __init__(self, settings: Settings, loop_thread: LoopThread) -> None:
         self._settings = settings
@@ -68,7 +68,7 @@
         self._executor = ThreadPoolExecutor(_HELPER_THREADS, "helper")
         self._histograms = HistogramRegistry()
         self._gate = ReadinessGate(
-            frozenset(), give_up_at=self._boot_at + _GATE_TIMEOUT
+            frozenset(), give_up_at=self._boot_at + _GATE_TIMEOUT_SECONDS
         )
         self._changed = asyncio.Event()
         self._change_listeners: list[Callable[[], None]] = []
@@ -208,9 +208,9 @@
         return task
 
     async def catch_up(self, stamp: Stamp, address: str) -> bool:
-        """Pull from a sender with a newer text; return whether it is adopted.
+        """Pull if the sender is newer; return whether this daemon caught up.
 
-        Guards against acting on an old text after a newer one was announced,
+        Guards against acting on an old text although a newer one is known,
         which would send work to a data centre that is marked out.
         """
         if not must_wait_for_text(self._configuration, stamp):
@@ -226,7 +226,7 @@
             self.pull_from(address)
 
     async def fetch(self, address: str, wait: float) -> bool:
-        """Fetch and adopt newer configuration; return whether it answered."""
+        """Fetch newer configuration; return whether the daemon answered."""
         request = pb.FetchRequest(
             stamp=write_stamp(self.stamp()), wait_until=self.now() + wait
         )
--- a/mintsaddle/entry/_run.py
+++ b/mintsaddle/entry/_run.py
@@ -21,7 +21,7 @@
 
 _DRAIN_POLL_SECONDS = 0.05
 _HOME_POLL_SECONDS = 0.5
-_HOME_POLL_TIMEOUT = 1.0
+_HOME_POLL_TIMEOUT_SECONDS = 1.0
 _BACKLOG = 1024
 _log = make_logger("entry")
 
@@ -123,7 +123,7 @@
     stub = PeerStub(node.channels.open(address))
     request = pb.StatusRequest(stamp=write_stamp(node.stamp()))
     try:
-        status = await stub.ShowStatus(request, timeout=_HOME_POLL_TIMEOUT)
+        status = await stub.ShowStatus(request, timeout=_HOME_POLL_TIMEOUT_SECONDS)
     except Exception as error:
         _log.debug("Home %s did not answer: %s.", name, type(error).__name__)
         node.channels.drop(address)
--- a/mintsaddle/entry/tests/test_requests.py
+++ b/mintsaddle/entry/tests/test_requests.py
@@ -10,7 +10,7 @@
 from mintsaddle.entry._requests import Problem, read_request, read_target
 from mintsaddle.fleet import read_fleet
 
-TEXT = """
+FLEET_TEXT = """
 [fleet]
 name = requests
 [data centre a]
@@ -29,7 +29,7 @@
 [workspace other]
 services = orders
 """
-FLEET = read_fleet("fleet", TEXT).unwrap()
+FLEET = read_fleet("fleet", FLEET_TEXT).unwrap()
 NOW = 1_800_000_000.0
 CLIENT_KEY = "01938a3c-8000-7000-8000-000000000001"
 
