--- a/mintsaddle/direct/__init__.py
+++ b/mintsaddle/direct/__init__.py
@@ -1,4 +1,4 @@
-"""The direct entry: callers come in by HTTP, endpoints are called directly."""
+"""The direct entry: accepts HTTP requests and calls endpoints directly."""
 
 from mintsaddle.direct._program import EXIT_BAD_SETTINGS, run_settings_file
 from mintsaddle.direct._run import run_direct
--- a/mintsaddle/direct/_app.py
+++ b/mintsaddle/direct/_app.py
@@ -225,7 +225,7 @@
             if permit_at is not None:
                 wished = permit_at - gateway.now()
         if reason is Reason.ISOLATED:
-            wished = max(_ROOM_USUALLY, gateway.reach.seconds_to_move)
+            wished = max(_ROOM_USUALLY, gateway.reach.failover_seconds_left)
         with gateway.lock:
             return advise_retry(seconds_left, wished, gateway.rng)
 
--- a/mintsaddle/direct/_choice.py
+++ b/mintsaddle/direct/_choice.py
@@ -181,10 +181,10 @@
 ) -> None:
     heard = {one.data_centre for one in asked if one.name in told}
     for data_centre in heard:
-        gateway.reach.record(data_centre, came=True)
+        gateway.reach.record(data_centre, received=True)
     for one in asked:
         if one.place is not None and one.data_centre not in heard:
-            gateway.reach.record(one.data_centre, came=False)
+            gateway.reach.record(one.data_centre, received=False)
 
 
 def _record_paces(
--- a/mintsaddle/direct/_follow.py
+++ b/mintsaddle/direct/_follow.py
@@ -1,4 +1,4 @@
-"""Following what the platform publishes, in one thread."""
+"""Polling of the platform's store, in one thread."""
 
 import threading
 from typing import NoReturn
@@ -15,132 +15,150 @@
 )
 from mintsaddle.direct._gateway import PLATFORM_SOURCE, Gateway, describe_position
 from mintsaddle.observe import fields, make_logger
-from mintsaddle.platform import StoreClient, StoreProblem, is_ours
+from mintsaddle.platform import StoreClient, StoreProblem, is_followed_key
 from mintsaddle.values import Instant
 
-IDLE_SECONDS = 0.2
-"""Seconds between two checks of whether the copy has become stale."""
+IDLE_INTERVAL_SECONDS = 0.2
+"""Interval between checks of whether the replica has become stale."""
 
 _log = make_logger("directory")
 
 
-def start_following(gateway: Gateway) -> None:
-    """Follow what is published in a thread, for the process's life."""
+def start_store_polling(gateway: Gateway) -> None:
+    """Start a thread that polls the store until the process ends."""
     threading.Thread(
-        target=_follow, args=(gateway,), name="follow", daemon=True
+        target=_poll_forever, args=(gateway,), name="follow", daemon=True
     ).start()
 
 
-def _follow(gateway: Gateway) -> None:
-    """Follow what is published; begin anew whatever goes wrong."""
+def _poll_forever(gateway: Gateway) -> None:
+    """Poll the store; start again after any exception."""
     while True:
         try:
-            _Follower(gateway).run()
+            _StorePoller(gateway).run()
         except Exception:
-            _log.exception("Following failed.")
+            _log.exception("Polling the store failed; retrying.")
             threading.Event().wait(
                 gateway.settings.news_within * RETRY_INTERVAL_FRACTION
             )
 
 
-class _Follower:
-    """Reads and watches the platform while nobody else tells what changes."""
+class _StorePoller:
+    """Reads and watches the store while no upstream relays its changes."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
         self._client = StoreClient(gateway.settings.store)
         settings = gateway.settings
-        # Without peers nobody else would confirm an old reading.
-        self._may_start_old = any(peer != settings.control for peer in settings.peers)
+        # Without peers, nothing else would confirm a stale read.
+        self._allows_stale_start = any(
+            peer != settings.control for peer in settings.peers
+        )
         self._polling = StorePolling()
-        self._is_well = True
+        self._is_store_available = True
 
     def run(self) -> NoReturn:
         while True:
             if self._gateway.must_poll:
                 self._poll()
             else:
-                self._rest()
+                self._wait_idle()
             self._gateway.drop_expired()
 
-    def _rest(self) -> None:
-        # An idle connection may go silent; the next poll has no time for that.
+    def _wait_idle(self) -> None:
+        # An idle connection may break unnoticed, and the next poll has no time
+        # to wait for its timeout.
         self._client.close()
         self._polling.record_gap()
-        if not self._is_well:
-            self._record_regained()
-        threading.Event().wait(IDLE_SECONDS)
+        if not self._is_store_available:
+            self._record_recovery()
+        threading.Event().wait(IDLE_INTERVAL_SECONDS)
 
     def _poll(self) -> None:
         gateway = self._gateway
         replica = gateway.replica
-        asked_at, asked, is_first = gateway.now(), replica.position, replica.is_empty
-        is_reading = is_first or self._polling.needs_full_read
-        match self._ask(asked, is_reading=is_reading, is_first=is_first):
-            case Success(answer):
+        requested_at, requested_position, is_initial_read = (
+            gateway.now(),
+            replica.position,
+            replica.is_empty,
+        )
+        is_full_read = is_initial_read or self._polling.needs_full_read
+        match self._request(
+            requested_position,
+            is_full_read=is_full_read,
+            is_initial_read=is_initial_read,
+        ):
+            case Success(response):
                 gateway.metrics.count("store_answered")
-                if not self._is_well:
-                    self._record_regained()
-                ours = tuple(item for item in answer.items if is_ours(item.key))
-                news = answer._replace(items=ours)
+                if not self._is_store_available:
+                    self._record_recovery()
+                relevant_items = tuple(
+                    item for item in response.items if is_followed_key(item.key)
+                )
+                relevant_response = response._replace(items=relevant_items)
                 with gateway.lock:
                     position = self._polling.resolve_position(
-                        replica, asked, news, is_full_read=is_reading
+                        replica,
+                        requested_position,
+                        relevant_response,
+                        is_full_read=is_full_read,
                     )
                 if position is None:
                     return
                 gateway.take_items(
-                    answer.items,
+                    response.items,
                     position,
-                    is_complete=is_reading,
+                    is_complete=is_full_read,
                     confirmed_at=self._confirmed_at(
-                        asked_at, is_reading=is_reading, is_first=is_first
+                        requested_at,
+                        is_full_read=is_full_read,
+                        is_initial_read=is_initial_read,
                     ),
                     source=PLATFORM_SOURCE,
                 )
-                if answer.items:
+                if response.items:
                     threading.Event().wait(
                         gateway.settings.news_within * CALL_INTERVAL_FRACTION
                     )
             case Failure(StoreProblem.HISTORY_GONE):
                 self._polling.record_history_gone()
                 gateway.metrics.count(f"store_{StoreProblem.HISTORY_GONE.value}")
-                _log.info("History gone %s.", describe_position(asked))
+                _log.info("History gone %s.", describe_position(requested_position))
             case Failure(problem):
                 gateway.metrics.count(f"store_{problem.value}")
                 self._polling.record_gap()
-                self._record_lost(problem)
+                self._record_failure(problem)
                 pause = gateway.settings.news_within * RETRY_INTERVAL_FRACTION
                 threading.Event().wait(pause * (0.5 + gateway.rng.random()))
 
-    def _ask(
-        self, asked: Position, *, is_reading: bool, is_first: bool
+    def _request(
+        self, requested_position: Position, *, is_full_read: bool, is_initial_read: bool
     ) -> Result[StoreResponse, StoreProblem]:
         prefix = self._gateway.replica.prefix
-        if is_reading:
-            may_be_old = is_first and self._may_start_old
-            return self._client.read_all(prefix, may_be_old=may_be_old)
+        if is_full_read:
+            allow_stale = is_initial_read and self._allows_stale_start
+            return self._client.read_all(prefix, allow_stale=allow_stale)
         wait = self._gateway.settings.news_within * WATCH_WAIT_FRACTION
-        return self._client.watch(prefix, asked.revision, wait)
+        return self._client.watch(prefix, requested_position.revision, wait)
 
     def _confirmed_at(
-        self, asked_at: Instant, *, is_reading: bool, is_first: bool
+        self, requested_at: Instant, *, is_full_read: bool, is_initial_read: bool
     ) -> Instant:
-        """Return when an answer was current."""
-        if is_first and self._may_start_old:
-            # A peer or a watch confirms it.
+        """Return when the content of a response was known to be current."""
+        if is_initial_read and self._allows_stale_start:
+            # The response may be stale; a peer or a watch confirms it later.
             return 0.0
-        # A watch's answer is current as it is sent.
-        return asked_at if is_reading else self._gateway.now()
+        # The response to a watch is current when it is sent.
+        return requested_at if is_full_read else self._gateway.now()
 
-    def _record_regained(self) -> None:
-        self._is_well = True
+    def _record_recovery(self) -> None:
+        self._is_store_available = True
         self._gateway.record_regained()
         position = self._gateway.replica.position
         _log.info("Platform regained %s.", describe_position(position))
 
-    def _record_lost(self, problem: StoreProblem) -> None:
-        if self._is_well:
+    def _record_failure(self, problem: StoreProblem) -> None:
+        if self._is_store_available:
             _log.warning("Platform lost %s.", fields(why=problem.value))
-        self._is_well = False
+        self._is_store_available = False
         self._gateway.record_lost()
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -29,9 +29,9 @@
 from mintsaddle.direct._metrics import Metrics
 from mintsaddle.direct._pool import ConnectionPool
 from mintsaddle.direct._probe import LoadProbe
-from mintsaddle.direct._reach import Reach
+from mintsaddle.direct._reach import Reachability
 from mintsaddle.observe import fields, make_logger
-from mintsaddle.platform import PUBLISHED_PREFIX, decode_items, is_ours
+from mintsaddle.platform import PUBLISHED_PREFIX, decode_items, is_followed_key
 from mintsaddle.settings import DirectSettings
 from mintsaddle.values import Instant
 
@@ -72,7 +72,7 @@
         self._groups = GroupAvailability()
         self._paces = GroupStepTimes()
         self._groups_changed = threading.Condition(self._lock)
-        self._reach = Reach(
+        self._reach = Reachability(
             settings.data_centre, self._lock, self.now, self._data_centres
         )
         self._reach.on_change(self._notify_waiting)
@@ -136,7 +136,7 @@
         return self._limits
 
     @property
-    def reach(self) -> Reach:
+    def reach(self) -> Reachability:
         """Which data centres this entry reaches."""
         return self._reach
 
@@ -276,7 +276,7 @@
             replica, before = self._replica, self._replica.position
             if not replica.accepts(position, is_complete=is_complete):
                 return
-            ours = [item for item in items if is_ours(item.key)]
+            ours = [item for item in items if is_followed_key(item.key)]
             older = replica.count_older(ours, position) if is_complete else 0
             take = replica.replace if is_complete else replica.merge
             changed = take(ours, position)
@@ -342,7 +342,7 @@
         service = table.services.get(endpoint.service) if table else None
         if service is None or not self._groups.takes_work(endpoint):
             return False
-        if self._reach.is_cut(endpoint.data_centre):
+        if self._reach.is_unreachable(endpoint.data_centre):
             return False
         if not self._limits.takes_work(endpoint.name):
             return False
--- a/mintsaddle/direct/_paths.py
+++ b/mintsaddle/direct/_paths.py
@@ -1,4 +1,4 @@
-"""Checking paths to data centres that are in doubt, in one thread."""
+"""Test connections to data centres that may be unreachable."""
 
 import socket
 import threading
@@ -9,46 +9,50 @@
 from mintsaddle.direct._gateway import Gateway
 
 CHECK_SECONDS = 0.15
-"""Seconds for a connection, and between two checks: round trips take a few
-milliseconds within a region."""
+"""Timeout of a test connection, and interval between checks. Round trips take
+a few milliseconds within a region."""
 
 
 def start_checking_paths(gateway: Gateway) -> None:
-    """Check paths in a thread of its own, for the process's life."""
-    threading.Thread(target=_run, args=(gateway,), name="paths", daemon=True).start()
+    """Start a thread that runs checks until the process ends."""
+    threading.Thread(
+        target=_check_forever, args=(gateway,), name="paths", daemon=True
+    ).start()
 
 
-def _run(gateway: Gateway) -> None:
+def _check_forever(gateway: Gateway) -> None:
     pause = threading.Event()
     with ThreadPoolExecutor(ENDPOINTS_PER_CHECK + 1, "paths") as pool:
         while True:
-            for data_centre in gateway.reach.await_doubts():
-                _check(gateway, pool, data_centre)
+            for data_centre in gateway.reach.wait_for_checks():
+                _check_data_centre(gateway, pool, data_centre)
             pause.wait(CHECK_SECONDS)
 
 
-def _check(gateway: Gateway, pool: ThreadPoolExecutor, data_centre: str) -> None:
-    """Connect to some endpoints of a data centre, and to the platform."""
+def _check_data_centre(
+    gateway: Gateway, pool: ThreadPoolExecutor, data_centre: str
+) -> None:
+    """Try to connect to endpoints of a data centre and to the platform."""
     addresses = gateway.draw_addresses(data_centre, ENDPOINTS_PER_CHECK)
-    store = pool.submit(_connects, gateway.settings.store)
-    reached = _any_connects(pool, addresses)
+    platform_check = pool.submit(_is_reachable, gateway.settings.store)
+    reached = _any_reachable(pool, addresses)
     gateway.reach.record_check(
-        data_centre, reached=reached, is_platform_reached=store.result()
+        data_centre, reached=reached, is_platform_reached=platform_check.result()
     )
 
 
-def _any_connects(pool: ThreadPoolExecutor, addresses: Iterable[str]) -> bool:
-    checks = list(pool.map(_connects, addresses))
-    # Without any endpoint there is nothing that a cut would keep from callers.
-    return any(checks) or not checks
+def _any_reachable(pool: ThreadPoolExecutor, addresses: Iterable[str]) -> bool:
+    results = list(pool.map(_is_reachable, addresses))
+    # A data centre without endpoints has nothing that callers could miss.
+    return any(results) or not results
 
 
-def _connects(address: str) -> bool:
+def _is_reachable(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
         socket.create_connection((host, int(port)), timeout=CHECK_SECONDS).close()
     except ConnectionRefusedError:
-        # The VM answers, so there is a path.
+        # The VM refused the connection, so the network path works.
         return True
     except OSError:
         return False
--- a/mintsaddle/direct/_peers.py
+++ b/mintsaddle/direct/_peers.py
@@ -1,4 +1,4 @@
-"""Exchanging beliefs with other direct entries, by gRPC."""
+"""Gossip and replication between direct entries, over gRPC."""
 
 import asyncio
 import contextlib
@@ -10,147 +10,159 @@
 from mintsaddle.direct._gateway import Gateway
 from mintsaddle.direct._permits import PermitExchange
 from mintsaddle.direct._relay import (
-    CopyRelay,
+    ReplicaRelay,
     StaleUpstreamError,
-    position_in,
-    read_position,
+    decode_position,
+    newest_position,
 )
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.transport import ChannelPool, LoopThread
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.transport.proto.peer_grpc import EntryPeersBase, EntryPeersStub
 
-ROUND_SECONDS = 1.0
-"""Seconds between two rounds while the platform is well."""
+EXCHANGE_INTERVAL_SECONDS = 1.0
+"""Interval between gossip rounds while the platform is available."""
 
-SEARCH_SECONDS = 0.3
-"""Seconds between two rounds while it gives nothing: a relayed change then
-arrives well within the two seconds that a configuration may take. A young
-entry asks as often, to know the others before it takes up duties."""
+FAST_EXCHANGE_INTERVAL_SECONDS = 0.3
+"""Interval between gossip rounds while the platform is unavailable. A relayed
+change then arrives well within the two seconds that a configuration change may
+take. A newly started entry uses the same interval, to learn of the others
+before it takes up duties."""
 
-HOLDER_SECONDS = 0.4
-"""Seconds between two questions to the holder of a duty by its successors:
-while nobody manages a group, its map stays wrong after each change."""
+HOLDER_CHECK_INTERVAL_SECONDS = 0.4
+"""Interval at which the successors for a duty poll its holder. While no entry
+manages a group, the group's expert map stays wrong after each change."""
 
-EXCHANGE_SECONDS = 0.5
-"""Seconds for a peer's answer, which needs no waiting; 2 ms is usual."""
+EXCHANGE_TIMEOUT_SECONDS = 0.5
+"""Timeout for a peer's response. A peer responds without waiting for anything,
+usually within 2 ms."""
 
-STALE_SECONDS = 1.0
-"""Age of one's own reading from which a peer's newer one is asked for."""
+STALE_REPLICA_SECONDS = 1.0
+"""Seconds since the replica was last confirmed after which an update from a
+peer is applied even if its position isn't newer."""
 
-CHOICE_SECONDS = 0.2
-"""Seconds between two choices of a reader that might follow another entry."""
+UPSTREAM_CHECK_INTERVAL_SECONDS = 0.2
+"""Interval at which a reader checks whether it should follow another entry."""
 
-PEER_WEIGHT = 3
-"""Lost datagrams that a silent peer speaks for."""
+PEER_TIMEOUT_WEIGHT = 3
+"""Number of lost datagrams that a peer's timeout counts as."""
 
 _log = make_logger("peers")
 
 
 class PeerExchange(EntryPeersBase):
-    """Both sides of the exchange of one entry; runs in its loop."""
+    """Client and server of gossip for one entry, in one event loop."""
 
     def __init__(self, gateway: Gateway, membership: Membership) -> None:
         self._gateway = gateway
         self._membership = membership
         self._channels = ChannelPool()
-        self._silent: set[str] = set()
-        self._relay = CopyRelay(gateway)
+        self._unresponsive: set[str] = set()
+        self._relay = ReplicaRelay(gateway)
         self._upstreams = UpstreamSelector(membership.vm, gateway.settings.data_centre)
         self._permits = PermitExchange(gateway, membership, self._channels)
-        self._cut_found = asyncio.Event()
+        self._reachability_changed = asyncio.Event()
 
     @property
     def permits(self) -> PermitExchange:
-        """Permits of endpoints that limit their requests."""
+        """Permits for endpoints that limit their request rate."""
         return self._permits
 
-    async def Exchange(  # noqa: N802 - the name that gRPC gives it
+    async def Exchange(  # noqa: N802 - named by the gRPC service
         self, stream: "Stream[pb.EntryHello, pb.EntryNews]"
     ) -> None:
-        """Answer a peer: note what it knows, give what it is missing."""
+        """Record what a peer knows, and respond with what it lacks."""
         hello = await stream.recv_message()
         if hello is None:
             return
         self._record_hello(hello)
-        news, _ = self._relay.make_news(self._make_full_hello(), position_in(hello))
-        await stream.send_message(news)
+        update, _ = self._relay.make_update(
+            self._make_full_hello(), newest_position(hello)
+        )
+        await stream.send_message(update)
 
-    async def Follow(  # noqa: N802 - the name that gRPC gives it
+    async def Follow(  # noqa: N802 - named by the gRPC service
         self, stream: "Stream[pb.EntryHello, pb.EntryNews]"
     ) -> None:
-        """Give a follower what it is missing, then each change."""
+        """Send a follower what it lacks, then each change."""
         hello = await stream.recv_message()
         if hello is None:
             return
         self._record_hello(hello)
-        await self._relay.serve(stream, self._make_brief_hello, position_in(hello))
+        await self._relay.send_updates(
+            stream, self._make_brief_hello, newest_position(hello)
+        )
 
-    async def AskPermit(  # noqa: N802 - the name that gRPC gives it
+    async def AskPermit(  # noqa: N802 - named by the gRPC service
         self, stream: "Stream[pb.PermitWish, pb.PermitAnswer]"
     ) -> None:
-        """Answer a peer that has a request for a limited endpoint."""
+        """Respond to a peer that asks for a permit for a limited endpoint."""
         wish = await stream.recv_message()
         if wish is not None:
             await stream.send_message(self._permits.answer_wish(wish))
 
-    async def NoteRates(  # noqa: N802 - the name that gRPC gives it
+    async def NoteRates(  # noqa: N802 - named by the gRPC service
         self, stream: "Stream[pb.RateNews, pb.RateNoted]"
     ) -> None:
-        """Take over which endpoints limit their requests."""
-        news = await stream.recv_message()
-        if news is not None:
-            self._permits.note(news.rates)
+        """Record the rate limits of endpoints that a peer sends."""
+        update = await stream.recv_message()
+        if update is not None:
+            self._permits.note(update.rates)
             await stream.send_message(pb.RateNoted())
 
-    def watch_copy(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Tell followers in the given loop of each change of the copy."""
+    def notify_on_replica_change(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Wake follower streams in the given loop when the replica changes."""
 
         def notify() -> None:
             loop.call_soon_threadsafe(self._relay.notify)
 
         self._gateway.on_copy(notify)
 
-    def watch_cuts(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Tell neighbours in the given loop when a path is cut or back."""
+    def notify_on_path_change(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Wake the gossip in the given loop when reachability changes."""
 
         def notify() -> None:
-            loop.call_soon_threadsafe(self._cut_found.set)
+            loop.call_soon_threadsafe(self._reachability_changed.set)
 
         self._gateway.reach.on_change(notify)
 
     async def run(self) -> None:
-        """Exchange beliefs, round after round, until cancelled."""
+        """Run gossip rounds until cancelled."""
         while True:
-            has_cuts = bool(self._gateway.reach.cut)
-            is_searching = self._gateway.is_platform_lost or has_cuts
+            has_unreachable = bool(self._gateway.reach.unreachable)
+            is_searching = self._gateway.is_platform_lost or has_unreachable
             now = self._gateway.now()
             duties = self._gateway.duties()
             peers = self._membership.choose_peers(
                 now, self._gateway.rng, duties, is_searching=is_searching
             )
-            await asyncio.gather(*(self._ask(address) for address in peers))
+            await asyncio.gather(*(self._exchange_with(address) for address in peers))
             self._gateway.set_entries(self._membership.count(now))
-            is_hurried = is_searching or not self._membership.is_settled(now)
-            pause = SEARCH_SECONDS if is_hurried else ROUND_SECONDS
+            is_fast = is_searching or not self._membership.is_settled(now)
+            pause = (
+                FAST_EXCHANGE_INTERVAL_SECONDS if is_fast else EXCHANGE_INTERVAL_SECONDS
+            )
             pause *= 0.75 + self._gateway.rng.random() / 2
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._cut_found.wait(), pause)
-                self._cut_found.clear()
-                await self._tell_neighbours()
+                await asyncio.wait_for(self._reachability_changed.wait(), pause)
+                self._reachability_changed.clear()
+                await self._exchange_with_local_peers()
 
-    async def _tell_neighbours(self) -> None:
-        """Exchange at once with all entries of the own data centre.
+    async def _exchange_with_local_peers(self) -> None:
+        """Exchange messages with all entries of the same data centre at once.
 
-        Callers are sent to other data centres once none of these is ready.
+        The balancer sends callers to other data centres only once none of
+        these entries is ready.
         """
-        now, here = self._gateway.now(), self._gateway.settings.data_centre
+        now, own_data_centre = self._gateway.now(), self._gateway.settings.data_centre
         reachable = self._membership.reachable(now)
-        near = [one.address for one in reachable if one.data_centre == here]
-        await asyncio.gather(*(self._ask(address) for address in near))
+        addresses = [
+            one.address for one in reachable if one.data_centre == own_data_centre
+        ]
+        await asyncio.gather(*(self._exchange_with(address) for address in addresses))
 
     async def follow_upstreams(self) -> None:
-        """Follow one upstream after the other, until cancelled."""
+        """Follow the chosen upstream, or the next one, until cancelled."""
         while True:
             now = self._gateway.now()
             upstream = None
@@ -159,93 +171,99 @@
                 upstream = self._upstreams.choose(reachable, now)
                 self._gateway.set_reader(upstream is None)
             if upstream is None:
-                await asyncio.sleep(CHOICE_SECONDS)
+                await asyncio.sleep(UPSTREAM_CHECK_INTERVAL_SECONDS)
             else:
                 await self._follow(upstream)
 
     async def _follow(self, upstream: KnownEntry) -> None:
-        """Follow one entry until it fails, leaves or ends the stream."""
+        """Follow an entry until it fails, leaves or ends the stream."""
         gateway = self._gateway
         stub = EntryPeersStub(self._channels.open(upstream.address))
         hello = self._make_hello()
         try:
-            async with contextlib.aclosing(self._relay.follow(stub, hello)) as told:
-                async for news in told:
-                    self._record_hello(news.hello)
-                    if news.hello.leaving:
+            async with contextlib.aclosing(
+                self._relay.receive_updates(stub, hello)
+            ) as updates:
+                async for update in updates:
+                    self._record_hello(update.hello)
+                    if update.hello.leaving:
                         return
         except StaleUpstreamError:
-            # Its copy is as old as this one's while the platform is down.
+            # During an outage of the platform, both replicas are equally old.
             if not gateway.must_poll:
                 self._upstreams.reject(upstream.vm, gateway.now())
-                _log.info("Upstream rejected %s.", fields(vm=upstream.vm))
+                _log.info("Upstream rejected as stale %s.", fields(vm=upstream.vm))
         except Exception as error:
-            self._record_silence(upstream.address, error)
+            self._record_failure(upstream.address, error)
 
     async def watch_holders(self) -> None:
-        """Ask the holders of duties that this entry would follow, for ever."""
+        """Poll the holders of duties that this entry may succeed, forever."""
         while True:
             duties, now = self._gateway.duties(), self._gateway.now()
             holders = set(self._membership.holders_to_watch(duties, now))
-            await asyncio.gather(*(self._ask(address) for address in holders))
-            await asyncio.sleep(HOLDER_SECONDS)
+            await asyncio.gather(*(self._exchange_with(address) for address in holders))
+            await asyncio.sleep(HOLDER_CHECK_INTERVAL_SECONDS)
 
-    async def _ask(self, address: str) -> None:
+    async def _exchange_with(self, address: str) -> None:
         stub = EntryPeersStub(self._channels.open(address))
         try:
-            news = await stub.Exchange(self._make_hello(), timeout=EXCHANGE_SECONDS)
+            update = await stub.Exchange(
+                self._make_hello(), timeout=EXCHANGE_TIMEOUT_SECONDS
+            )
         except Exception as error:
-            self._record_silence(address, error)
+            self._record_failure(address, error)
             return
         self._membership.record_answer(address)
-        self._gateway.reach.record(news.hello.data_centre, came=True)
-        if address in self._silent:
-            self._silent.discard(address)
-            _log.info("Peer regained %s.", fields(address=address))
-        self._record_hello(news.hello)
-        for position in news.hello.positions:
-            if self._is_news(position):
-                self._relay.take(news, position)
-
-    def _record_silence(self, address: str, error: Exception) -> None:
-        """Record that a peer failed, whatever grpclib raised.
-
-        It is tried again over a fresh connection in a later round.
+        self._gateway.reach.record(update.hello.data_centre, received=True)
+        if address in self._unresponsive:
+            self._unresponsive.discard(address)
+            _log.info("Peer reachable again %s.", fields(address=address))
+        self._record_hello(update.hello)
+        for position in update.hello.positions:
+            if self._should_apply(position):
+                self._relay.apply_update(update, position)
+
+    def _record_failure(self, address: str, error: Exception) -> None:
+        """Record that a peer failed with any exception that grpclib raises.
+
+        A later round tries it again over a new connection.
         """
         self._channels.drop(address)
         self._membership.record_timeout(address)
         data_centre = self._membership.data_centre_of(address)
-        # A peer is waited for much longer than a datagram.
-        self._gateway.reach.record(data_centre, came=False, weight=PEER_WEIGHT)
-        if address not in self._silent:
-            self._silent.add(address)
+        # The timeout for a peer is much longer than for a datagram.
+        self._gateway.reach.record(
+            data_centre, received=False, weight=PEER_TIMEOUT_WEIGHT
+        )
+        if address not in self._unresponsive:
+            self._unresponsive.add(address)
             name = type(error).__name__
-            _log.info("Peer lost %s.", fields(address=address, error=name))
+            _log.info("Peer unreachable %s.", fields(address=address, error=name))
 
-    def _is_news(self, position: pb.Position) -> bool:
-        """Return whether a peer has a newer or fresher copy."""
+    def _should_apply(self, position: pb.Position) -> bool:
+        """Return whether to apply a peer's update at a position."""
         replica, now = self._gateway.replica, self._gateway.now()
-        is_behind = read_position(position) > replica.position
-        return is_behind or now - replica.confirmed_at > STALE_SECONDS
+        is_behind = decode_position(position) > replica.position
+        return is_behind or now - replica.confirmed_at > STALE_REPLICA_SECONDS
 
     def _make_brief_hello(self) -> pb.EntryHello:
-        """Return who this entry is, without whom it knows."""
+        """Return this entry's identity, without the entries it knows."""
         return pb.EntryHello(
             vm=self._membership.vm,
             address=self._membership.address,
             leaving=self._gateway.leaving,
             data_centre=self._gateway.settings.data_centre,
-            cut=self._gateway.reach.cut,
+            cut=self._gateway.reach.unreachable,
         )
 
     def _make_hello(self) -> pb.EntryHello:
-        """Return who this entry is, whom it knows and what it has read."""
+        """Return a gossip message with the position of the replica."""
         hello = self._make_full_hello()
         hello.positions.append(self._relay.make_position(self._gateway.now()))
         return hello
 
     def _make_full_hello(self) -> pb.EntryHello:
-        """Return who this entry is and whom it knows."""
+        """Return a gossip message with the entries that this one knows."""
         now = self._gateway.now()
         hello = self._make_brief_hello()
         for entry in self._membership.most_recent_entries(now):
@@ -266,9 +284,11 @@
                 KnownEntry(hello.vm, hello.address, now, hello.data_centre)
             )
         if hello.data_centre == self._gateway.settings.data_centre:
-            # What a neighbour doesn't reach, this one may not reach either.
+            # What a local peer can't reach may be unreachable from here too.
             for name in hello.cut:
-                self._gateway.reach.record(name, came=False, weight=PEER_WEIGHT)
+                self._gateway.reach.record(
+                    name, received=False, weight=PEER_TIMEOUT_WEIGHT
+                )
         for entry in hello.entries:
             heard_at = now - entry.age
             self._membership.record_entry(
@@ -276,8 +296,8 @@
             )
 
 
-def start_peers(gateway: Gateway, membership: Membership) -> None:
-    """Answer peers and ask them, in a loop of its own, from now on."""
+def start_peer_exchange(gateway: Gateway, membership: Membership) -> None:
+    """Start gossip in an event loop and thread of its own."""
     loop_thread = LoopThread("peers")
     loop_thread.start()
     exchange = loop_thread.submit(_start(gateway, membership)).result()
@@ -286,22 +306,22 @@
     def take_permit(endpoint: str) -> bool:
         return loop_thread.submit(permits.take(endpoint)).result()
 
-    def tell_of(endpoint: str) -> None:
+    def announce_change(endpoint: str) -> None:
         loop_thread.post(permits.mark_changed, endpoint)
 
-    gateway.limits.use(take_permit, tell_of)
+    gateway.limits.use(take_permit, announce_change)
 
 
 async def _start(gateway: Gateway, membership: Membership) -> PeerExchange:
     exchange = PeerExchange(gateway, membership)
-    exchange.watch_copy(asyncio.get_running_loop())
-    exchange.watch_cuts(asyncio.get_running_loop())
+    exchange.notify_on_replica_change(asyncio.get_running_loop())
+    exchange.notify_on_path_change(asyncio.get_running_loop())
     server: Any = Server([exchange])
     host, _, port = gateway.settings.control.rpartition(":")
     await server.start(host, int(port))
-    rounds = asyncio.ensure_future(exchange.run())
-    watch = asyncio.ensure_future(exchange.watch_holders())
-    following = asyncio.ensure_future(exchange.follow_upstreams())
-    telling = asyncio.ensure_future(exchange.permits.tell_changes())
-    gateway.keep(server, rounds, watch, following, telling)
+    exchange_task = asyncio.ensure_future(exchange.run())
+    holders_task = asyncio.ensure_future(exchange.watch_holders())
+    upstreams_task = asyncio.ensure_future(exchange.follow_upstreams())
+    permits_task = asyncio.ensure_future(exchange.permits.tell_changes())
+    gateway.keep(server, exchange_task, holders_task, upstreams_task, permits_task)
     return exchange
--- a/mintsaddle/direct/_program.py
+++ b/mintsaddle/direct/_program.py
@@ -1,4 +1,4 @@
-"""The direct entry's program, by the platform's settings file."""
+"""Entry point that runs a direct entry from the platform's settings file."""
 
 import os
 import sys
@@ -13,15 +13,14 @@
 from mintsaddle.values import render_findings
 
 EXIT_BAD_SETTINGS = 2
-"""Exit code when the settings have findings."""
+"""Exit code for invalid settings."""
 
 
 def run_settings_file(path: str) -> NoReturn:
-    """Run a direct entry by a settings file until it is told to stop.
+    """Run a direct entry with a settings file until a stop signal.
 
     Args:
-        path: The platform's TOML file; it is read again when it may have
-            changed.
+        path: The platform's TOML file; read again when it may have changed.
     """
 
     def reload() -> DirectSettings | None:
@@ -35,6 +34,6 @@
             start_logging(settings.log_level)
             code = run_direct(settings, reload)
     stop_logging()
-    # Threads may still wait in a watch of the store; Python would wait for
-    # them.
+    # A normal exit would join threads, which may be blocked in a watch of the
+    # store.
     os._exit(code)
--- a/mintsaddle/direct/_reach.py
+++ b/mintsaddle/direct/_reach.py
@@ -1,4 +1,4 @@
-"""Which data centres this entry reaches, shared by its threads."""
+"""Thread-safe reachability of data centres from this entry."""
 
 import threading
 from collections.abc import Callable, Collection
@@ -7,15 +7,15 @@
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.values import Clock, Instant
 
-MOVE_SECONDS = 3.0
-"""Seconds from an entry's isolation until callers reach other data centres:
-the balancer needs two or three of its checks, a second apart."""
+FAILOVER_SECONDS = 3.0
+"""Seconds from an entry's isolation until the balancer sends its callers to
+other data centres: two or three failed readiness checks, a second apart."""
 
 _log = make_logger("paths")
 
 
-class Reach:
-    """Beliefs of paths under the entry's lock."""
+class Reachability:
+    """Tracks which data centres are reachable, under the entry's lock."""
 
     def __init__(
         self,
@@ -24,17 +24,17 @@
         now: Clock,
         data_centres: Callable[[], Collection[str]],
     ) -> None:
-        """Begin with all paths well.
+        """Start with all data centres reachable.
 
         Args:
-            data_centre: The entry's own.
-            lock: The lock that guards the entry's beliefs.
+            data_centre: The data centre of this entry.
+            lock: The lock that guards the entry's shared state.
             now: The clock.
-            data_centres: Returns all that have endpoints.
+            data_centres: Returns the data centres that have endpoints.
         """
-        self._paths = ReachabilityTracker(data_centre)
+        self._tracker = ReachabilityTracker(data_centre)
         self._lock = lock
-        self._doubted = threading.Condition(lock)
+        self._check_requested = threading.Condition(lock)
         self._now = now
         self._data_centres = data_centres
         self._listeners: list[Callable[[], None]] = []
@@ -42,71 +42,78 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether the entry's data centre is cut off from all others."""
+        """Whether no other data centre can be reached from this one."""
         with self._lock:
-            # Asked with every answer, and hardly ever is anything cut.
-            if not self._paths.unreachable_data_centres():
+            # Fast path: this runs for every response, and data centres are
+            # rarely unreachable.
+            if not self._tracker.unreachable_data_centres():
                 return False
-            return self._paths.is_isolated(self._data_centres())
+            return self._tracker.is_isolated(self._data_centres())
 
     @property
-    def cut(self) -> list[str]:
-        """The data centres to which there is no path."""
+    def unreachable(self) -> list[str]:
+        """The data centres that can't be reached."""
         with self._lock:
-            return self._paths.unreachable_data_centres()
+            return self._tracker.unreachable_data_centres()
 
     @property
-    def seconds_to_move(self) -> float:
-        """How long the balancer may still send callers to this entry."""
+    def failover_seconds_left(self) -> float:
+        """Seconds for which the balancer may still send callers here."""
         since = self._isolated_since
-        return MOVE_SECONDS if since is None else since + MOVE_SECONDS - self._now()
+        return (
+            FAILOVER_SECONDS
+            if since is None
+            else since + FAILOVER_SECONDS - self._now()
+        )
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a function whenever a path is found cut or well again."""
+        """Register a function to call when reachability changes."""
         self._listeners.append(listener)
 
-    def is_cut(self, data_centre: str) -> bool:
-        """Return whether a data centre can't be reached; under the lock."""
-        return self._paths.is_unreachable(data_centre)
+    def is_unreachable(self, data_centre: str) -> bool:
+        """Return whether a data centre is unreachable; hold the lock."""
+        return self._tracker.is_unreachable(data_centre)
 
-    def record(self, data_centre: str, *, came: bool, weight: int = 1) -> None:
-        """Note whether something came from a data centre.
+    def record(self, data_centre: str, *, received: bool, weight: int = 1) -> None:
+        """Record whether an expected response from a data centre was received.
 
         Args:
             data_centre: The data centre.
-            came: Whether it came.
-            weight: How many lost datagrams its absence speaks for.
+            received: Whether the response was received.
+            weight: Number of lost datagrams that a missing one counts as.
         """
         with self._lock:
-            if came:
-                self._paths.record_answer(data_centre)
-            elif self._paths.record_miss(data_centre, weight):
-                self._doubted.notify()
-
-    def await_doubts(self) -> tuple[str, ...]:
-        """Return the data centres to check, as soon as there are any."""
-        with self._doubted:
-            while not (doubted := self._paths.to_check()):
-                self._doubted.wait()
-            return doubted
+            if received:
+                self._tracker.record_answer(data_centre)
+            elif self._tracker.record_miss(data_centre, weight):
+                self._check_requested.notify()
+
+    def wait_for_checks(self) -> tuple[str, ...]:
+        """Wait until there are data centres to check, and return them."""
+        with self._check_requested:
+            while not (pending := self._tracker.to_check()):
+                self._check_requested.wait()
+            return pending
 
     def record_check(
         self, data_centre: str, *, reached: bool, is_platform_reached: bool
     ) -> None:
-        """Take over whether connections to a data centre came about."""
+        """Record whether test connections to a data centre succeeded."""
         with self._lock:
-            self._paths.record_platform(reached=is_platform_reached)
-            places = self._data_centres()
-            has_changed = self._paths.record_check(data_centre, places, reached=reached)
-            if not self._paths.is_isolated(places):
+            self._tracker.record_platform(reached=is_platform_reached)
+            known = self._data_centres()
+            has_changed = self._tracker.record_check(
+                data_centre, known, reached=reached
+            )
+            if not self._tracker.is_isolated(known):
                 self._isolated_since = None
             elif self._isolated_since is None:
                 self._isolated_since = self._now()
         if not has_changed:
             return
-        fact = fields(
+        details = fields(
             data_centre=data_centre, reached=reached, platform=is_platform_reached
         )
-        _log.warning("Path changed %s.", fact)
+        _log.warning("Reachability changed %s.", details)
         for listener in self._listeners:
             listener()
--- a/mintsaddle/direct/_relay.py
+++ b/mintsaddle/direct/_relay.py
@@ -1,4 +1,4 @@
-"""Relaying the copy of what is published between direct entries."""
+"""Relaying of replica updates between direct entries."""
 
 import asyncio
 import zlib
@@ -14,24 +14,29 @@
 if TYPE_CHECKING:
     from grpclib.server import Stream
 
-ANSWER_SECONDS = 0.5
-"""Seconds for an upstream's first message, and for a follower to take one."""
+MESSAGE_TIMEOUT_SECONDS = 0.5
+"""Timeout for the first message of an upstream, and for sending a message to a
+follower."""
 
-STREAM_SECONDS = 20.0
-"""Seconds after which a follower is let go: it then follows whoever ranks
-highest, and a follower that lost power keeps no stream for longer."""
+MAX_STREAM_SECONDS = 20.0
+"""Longest duration of a follower's stream. Afterwards the follower chooses the
+upstream that ranks highest by then; a follower that lost power doesn't hold a
+stream open any longer either."""
 
-COMPRESSED_BYTES = 2_048
-"""Size from which a value is compressed: links of entries are narrow, and a
-configuration of many routes goes to each follower."""
+COMPRESSION_THRESHOLD_BYTES = 2_048
+"""Size from which a value is compressed. Links between entries have little
+bandwidth, and a configuration with many routes goes to each follower."""
 
 
 class StaleUpstreamError(Exception):
-    """An upstream answers but has confirmed nothing for too long."""
+    """An upstream responds, but hasn't confirmed its replica for too long."""
 
 
-class CopyRelay:
-    """Both sides of relaying one entry's copy; runs in the peers' loop."""
+class ReplicaRelay:
+    """Sends and receives replica updates of one entry.
+
+    Runs in the event loop of the gossip.
+    """
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
@@ -39,12 +44,12 @@
         self._compressed: dict[str, tuple[PublishedItem, pb.RelayedItem]] = {}
 
     def notify(self) -> None:
-        """Wake the streams of all followers."""
+        """Wake the streams to all followers."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def make_position(self, now: Instant) -> pb.Position:
-        """Return how new this entry's copy is."""
+        """Return the position and age of this entry's replica."""
         replica = self._gateway.replica
         return pb.Position(
             prefix=replica.prefix,
@@ -54,68 +59,72 @@
             lapse_left=max(0.0, replica.lapse_until - now),
         )
 
-    def make_news(
+    def make_update(
         self, hello: pb.EntryHello, known: Position
     ) -> tuple[pb.EntryNews, Position]:
-        """Return what a peer is missing, and where it stands with that.
+        """Return an update for a peer, and the position that it leads to.
 
         Args:
-            hello: Who tells; its position is filled in.
-            known: Up to where the peer misses nothing.
+            hello: Gossip message to include; the replica's position is added.
+            known: Position up to which the peer's replica is complete.
         """
         with self._gateway.lock:
             replica = self._gateway.replica
             hello.positions.append(self.make_position(self._gateway.now()))
             changes = replica.changes_since(known)
             is_complete = replica.lacks_removals_since(known)
-            reached = max(known, replica.position)
-        items = [self._encode(item) for item in changes]
-        news = pb.EntryNews(hello=hello, items=items, complete=is_complete)
-        return news, reached
+            new_position = max(known, replica.position)
+        items = [self._encode_item(item) for item in changes]
+        update = pb.EntryNews(hello=hello, items=items, complete=is_complete)
+        return update, new_position
 
-    async def serve(
+    async def send_updates(
         self,
         stream: "Stream[pb.EntryHello, pb.EntryNews]",
         make_hello: Callable[[], pb.EntryHello],
         known: Position,
     ) -> None:
-        """Send a follower each change and confirmation, for a limited time."""
-        ends_at = self._gateway.now() + STREAM_SECONDS
+        """Send a follower updates for at most ``MAX_STREAM_SECONDS``."""
+        ends_at = self._gateway.now() + MAX_STREAM_SECONDS
         while self._gateway.now() < ends_at:
             changed = self._changed
-            news, known = self.make_news(make_hello(), known)
-            await asyncio.wait_for(stream.send_message(news), ANSWER_SECONDS)
-            left = max(0.0, ends_at - self._gateway.now())
+            update, known = self.make_update(make_hello(), known)
+            await asyncio.wait_for(stream.send_message(update), MESSAGE_TIMEOUT_SECONDS)
+            remaining = max(0.0, ends_at - self._gateway.now())
             try:
-                await asyncio.wait_for(changed.wait(), left)
+                await asyncio.wait_for(changed.wait(), remaining)
             except TimeoutError:
                 return
 
-    async def follow(
+    async def receive_updates(
         self, stub: EntryPeersStub, hello: pb.EntryHello
     ) -> AsyncGenerator[pb.EntryNews, None]:
-        """Take over what an upstream tells, and give each message.
+        """Apply the updates of an upstream, and yield each of them.
 
         Raises:
-            StaleUpstreamError: It has confirmed nothing for too long.
-            Exception: It doesn't answer; whatever grpclib raises.
+            StaleUpstreamError: It sent no update for too long.
+            Exception: It doesn't respond; grpclib raises various exceptions.
         """
-        silent_seconds = self._gateway.settings.news_within * STALE_AFTER_FRACTION
+        max_silence_seconds = self._gateway.settings.news_within * STALE_AFTER_FRACTION
         async with stub.Follow.open() as stream:
             send = stream.send_message(hello, end=True)
-            await asyncio.wait_for(send, ANSWER_SECONDS)
-            news = await asyncio.wait_for(stream.recv_message(), ANSWER_SECONDS)
-            while news is not None:
-                for position in news.hello.positions:
-                    self.take(news, position)
-                yield news
+            await asyncio.wait_for(send, MESSAGE_TIMEOUT_SECONDS)
+            update = await asyncio.wait_for(
+                stream.recv_message(), MESSAGE_TIMEOUT_SECONDS
+            )
+            while update is not None:
+                for position in update.hello.positions:
+                    self.apply_update(update, position)
+                yield update
                 try:
-                    news = await asyncio.wait_for(stream.recv_message(), silent_seconds)
+                    update = await asyncio.wait_for(
+                        stream.recv_message(), max_silence_seconds
+                    )
                 except TimeoutError as error:
                     raise StaleUpstreamError from error
 
-    def take(self, news: pb.EntryNews, position: pb.Position) -> None:
-        """Take over what a peer tells."""
+    def apply_update(self, update: pb.EntryNews, position: pb.Position) -> None:
+        """Apply an update from a peer to the replica."""
         gateway = self._gateway
         now = gateway.now()
         if position.prefix != gateway.replica.prefix or position.revision == 0:
@@ -123,24 +132,24 @@
         if position.lapse_left > 0:
             gateway.expect_lapses(now + position.lapse_left)
         gateway.take_items(
-            [_decode(item) for item in news.items],
-            read_position(position),
-            is_complete=news.complete,
+            [_decode_item(item) for item in update.items],
+            decode_position(position),
+            is_complete=update.complete,
             confirmed_at=now - position.age,
-            source=news.hello.vm,
+            source=update.hello.vm,
         )
 
-    def _encode(self, item: PublishedItem) -> pb.RelayedItem:
+    def _encode_item(self, item: PublishedItem) -> pb.RelayedItem:
         value = item.value or b""
-        if len(value) < COMPRESSED_BYTES:
+        if len(value) < COMPRESSION_THRESHOLD_BYTES:
             return pb.RelayedItem(
                 key=item.key,
                 revision=item.revision,
                 removed=item.value is None,
                 value=value,
             )
-        source, relayed = self._compressed.get(item.key, (None, None))
-        if relayed is None or source != item:
+        cached_item, relayed = self._compressed.get(item.key, (None, None))
+        if relayed is None or cached_item != item:
             relayed = pb.RelayedItem(
                 key=item.key,
                 revision=item.revision,
@@ -151,17 +160,17 @@
         return relayed
 
 
-def read_position(position: pb.Position) -> Position:
-    """Return where a peer's copy stands."""
+def decode_position(position: pb.Position) -> Position:
+    """Return the position in a peer's message."""
     return Position(position.era, position.revision)
 
 
-def position_in(hello: pb.EntryHello) -> Position:
-    """Return up to where a peer misses nothing."""
-    return max(map(read_position, hello.positions), default=Position())
+def newest_position(hello: pb.EntryHello) -> Position:
+    """Return the newest position that a peer's message states."""
+    return max(map(decode_position, hello.positions), default=Position())
 
 
-def _decode(item: pb.RelayedItem) -> PublishedItem:
+def _decode_item(item: pb.RelayedItem) -> PublishedItem:
     if item.removed:
         return PublishedItem(item.key, item.revision, None)
     value = zlib.decompress(item.value) if item.compressed else bytes(item.value)
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -145,10 +145,10 @@
     ) -> tuple[Ending, _Attempt | None]:
         is_fresh = not exchange.is_kept
         if not exchange.connect():
-            self._gateway.reach.record(endpoint.data_centre, came=False)
+            self._gateway.reach.record(endpoint.data_centre, received=False)
             return Ending.NOT_SENT, None
         if is_fresh:
-            self._gateway.reach.record(endpoint.data_centre, came=True)
+            self._gateway.reach.record(endpoint.data_centre, received=True)
         call, message = self._call, self._message
         left = call.deadline - self._gateway.now()
         if left <= 0:
--- a/mintsaddle/platform/__init__.py
+++ b/mintsaddle/platform/__init__.py
@@ -4,7 +4,7 @@
 from mintsaddle.platform._items import (
     PUBLISHED_PREFIX,
     decode_items,
-    is_ours,
+    is_followed_key,
 )
 from mintsaddle.platform._messages import (
     READY_PATH,
@@ -46,7 +46,7 @@
     "decode_rank_report",
     "decode_verdict",
     "experts_call",
-    "is_ours",
+    "is_followed_key",
     "load_direct_settings",
     "make_answer_headers",
     "make_endpoint_headers",
--- a/mintsaddle/platform/_items.py
+++ b/mintsaddle/platform/_items.py
@@ -33,7 +33,7 @@
 _log = make_logger("platform")
 
 
-def is_ours(key: str) -> bool:
+def is_followed_key(key: str) -> bool:
     """Return whether a key is one that entries act on.
 
     Guards against other users of the store, whose items would fill the copy
--- a/mintsaddle/platform/_store.py
+++ b/mintsaddle/platform/_store.py
@@ -55,7 +55,7 @@
         self._connection: http.client.HTTPConnection | None = None
 
     def read_all(
-        self, prefix: str, *, may_be_old: bool = False
+        self, prefix: str, *, allow_stale: bool = False
     ) -> Result[StoreResponse, StoreProblem]:
         """Return all items under a prefix.
 
@@ -65,25 +65,25 @@
 
         Args:
             prefix: Keys that begin so are read.
-            may_be_old: Whether an answer that is seconds old will do; it
+            allow_stale: Whether an answer that is seconds old will do; it
                 costs the store a tenth.
         """
         pages: list[_Page] = []
         while len(pages) < _MOST_PAGES:
-            match self._ask_page(prefix, pages, may_be_old=may_be_old):
+            match self._ask_page(prefix, pages, allow_stale=allow_stale):
                 case Failure(problem):
                     return Failure(problem)
                 case Success(page):
                     pages.append(page)
                     if not page.has_more or not page.items:
-                        return _join_pages(pages, may_be_old=may_be_old)
+                        return _join_pages(pages, allow_stale=allow_stale)
         return Failure(StoreProblem.UNREADABLE)
 
     def _ask_page(
-        self, prefix: str, pages: list[_Page], *, may_be_old: bool
+        self, prefix: str, pages: list[_Page], *, allow_stale: bool
     ) -> Result[_Page, StoreProblem]:
         query = {"prefix": prefix}
-        if may_be_old:
+        if allow_stale:
             query["stale_ok"] = "1"
         if pages:
             query["after"] = pages[-1].items[-1].key
@@ -167,12 +167,12 @@
 
 
 def _join_pages(
-    pages: list[_Page], *, may_be_old: bool
+    pages: list[_Page], *, allow_stale: bool
 ) -> Result[StoreResponse, StoreProblem]:
     items = tuple(item for page in pages for item in page.items)
     position = min(page.at for page in pages)
     era = pages[0].era
-    if may_be_old:
+    if allow_stale:
         # The revision that an old page names may be newer than its items.
         newest = max((item.revision for item in items), default=1)
         return Success(StoreResponse(items, min(position, newest), era))
--- a/mintsaddle/platform/tests/test_isolation.py
+++ b/mintsaddle/platform/tests/test_isolation.py
@@ -60,7 +60,7 @@
 
 def check(gateway: Gateway) -> None:
     with ThreadPoolExecutor(3) as pool:
-        _paths._check(gateway, pool, "b")
+        _paths._check_data_centre(gateway, pool, "b")
 
 
 class TestIsolation:
@@ -73,8 +73,8 @@
         check(gateway)
         assert gateway.is_cut_off()
         assert found
-        assert 0 < gateway.reach.seconds_to_move <= 3.0
-        gateway.reach.record("b", came=True)
+        assert 0 < gateway.reach.failover_seconds_left <= 3.0
+        gateway.reach.record("b", received=True)
         assert not gateway.is_cut_off()
 
     def test_an_entry_that_reaches_the_platform_stays(
@@ -83,7 +83,7 @@
         """Guards against refusals by the last data centre that lives."""
         gateway = make_gateway(silent, listener)
         check(gateway)
-        assert gateway.reach.cut == ["b"]
+        assert gateway.reach.unreachable == ["b"]
         assert not gateway.is_cut_off()
 
     def test_a_vm_that_refuses_a_connection_is_reached(
@@ -93,4 +93,4 @@
             address = f"127.0.0.1:{closed.getsockname()[1]}"
         gateway = make_gateway(address, silent)
         check(gateway)
-        assert gateway.reach.cut == []
+        assert gateway.reach.unreachable == []
--- a/mintsaddle/platform/tests/test_restored_store.py
+++ b/mintsaddle/platform/tests/test_restored_store.py
@@ -256,5 +256,5 @@
         store = standins.Store()
         store.put("servers/e-1", {})
         store.revision += 5
-        news = StoreClient(store.address).read_all("", may_be_old=True).unwrap()
+        news = StoreClient(store.address).read_all("", allow_stale=True).unwrap()
         assert news.revision == news.items[0].revision
--- a/mintsaddle/platform/tests/test_taking_items.py
+++ b/mintsaddle/platform/tests/test_taking_items.py
@@ -8,7 +8,7 @@
 from mintsaddle.decisions.direct import Position, PublishedItem
 from mintsaddle.decisions.routing import record_failed
 from mintsaddle.direct._gateway import Gateway
-from mintsaddle.direct._relay import COMPRESSED_BYTES, CopyRelay
+from mintsaddle.direct._relay import COMPRESSION_THRESHOLD_BYTES, ReplicaRelay
 from mintsaddle.settings import DirectSettings
 from mintsaddle.transport.proto import peer_pb2 as pb
 
@@ -132,9 +132,9 @@
         self, gateway: Gateway
     ) -> None:
         """Guards against a compressed value kept from before a restore."""
-        relay = CopyRelay(gateway)
+        relay = ReplicaRelay(gateway)
         for era, word in enumerate((b"old", b"new")):
-            item = PublishedItem("op/config", 7, word * COMPRESSED_BYTES)
+            item = PublishedItem("op/config", 7, word * COMPRESSION_THRESHOLD_BYTES)
             gateway.take_items(
                 [item],
                 Position(era, 7),
@@ -142,6 +142,6 @@
                 confirmed_at=gateway.now(),
                 source="test",
             )
-            news, _ = relay.make_news(pb.EntryHello(), Position())
+            news, _ = relay.make_update(pb.EntryHello(), Position())
         (told,) = [one for one in news.items if one.key == "op/config"]
         assert zlib.decompress(told.value).startswith(b"new")
