--- a/mintsaddle/decisions/orders/__init__.py
+++ b/mintsaddle/decisions/orders/__init__.py
@@ -49,7 +49,7 @@
     "home_is_settled",
     "is_awaited",
     "keep_bequest",
-    "record_answer",
     "purge_ledger",
+    "record_answer",
     "settle_alone",
 ]
--- a/mintsaddle/decisions/routing/__init__.py
+++ b/mintsaddle/decisions/routing/__init__.py
@@ -28,6 +28,7 @@
     "RoutingState",
     "choose_endpoint",
     "choose_subset",
+    "clear_backoff",
     "draw_key",
     "has_free_place",
     "may_retry",
@@ -38,5 +39,4 @@
     "record_request",
     "record_sent",
     "spend_retry",
-    "clear_backoff",
 ]
--- a/mintsaddle/direct/_app.py
+++ b/mintsaddle/direct/_app.py
@@ -22,7 +22,7 @@
 from mintsaddle.direct._timing import StreamTiming
 from mintsaddle.direct._watchdog import Watchdog
 from mintsaddle.observe import HistogramName, Measure, fields, make_logger
-from mintsaddle.platform import CallerHead, make_refusal, read_caller_head
+from mintsaddle.platform import RequestHead, make_refusal, read_request_head
 from mintsaddle.values import Instant, Outcome, Reason
 
 StartResponse: TypeAlias = Any
@@ -79,7 +79,7 @@
         self, environ: _Environ, start: StartResponse, *, is_full: bool
     ) -> Iterable[bytes]:
         arrived_at = self._gateway.now()
-        head = read_caller_head(environ)
+        head = read_request_head(environ)
         table = self._gateway.directory.table
         if table is None:
             return self._refuse(start, head, Reason.BEHIND)
@@ -102,7 +102,7 @@
         return self._run(environ, start, call, message)
 
     def _make_call(
-        self, head: CallerHead, route: Route, holder: KeyHolder, arrived_at: Instant
+        self, head: RequestHead, route: Route, holder: KeyHolder, arrived_at: Instant
     ) -> DirectCall:
         # A few callers that bring more than the operator allows would make all
         # others look as if they had come back.
@@ -182,7 +182,7 @@
         return ()
 
     def _refuse(
-        self, start: StartResponse, head: CallerHead, reason: Reason
+        self, start: StartResponse, head: RequestHead, reason: Reason
     ) -> Iterable[bytes]:
         """Refuse a request that went nowhere."""
         self._gateway.metrics.count(f"refused_{reason.value}")
@@ -198,7 +198,7 @@
         return ()
 
     def _deny(
-        self, start: StartResponse, head: CallerHead, status: str, why: str
+        self, start: StartResponse, head: RequestHead, status: str, why: str
     ) -> Iterable[bytes]:
         """Deny what the table doesn't allow, if the table is known to be new.
 
--- a/mintsaddle/direct/_calls.py
+++ b/mintsaddle/direct/_calls.py
@@ -7,7 +7,7 @@
     RoutingTable,
     choose_service,
 )
-from mintsaddle.platform import CallerHead
+from mintsaddle.platform import RequestHead
 from mintsaddle.values import Instant
 
 NO_KEY = KeyHolder("", None)
@@ -15,7 +15,7 @@
 
 
 def find_holder(
-    table: RoutingTable, route: Route, head: CallerHead
+    table: RoutingTable, route: Route, head: RequestHead
 ) -> KeyHolder | None:
     """Return who calls, or None when the key names nobody."""
     if table.keys is None:
@@ -27,7 +27,7 @@
 
 
 def make_call(
-    head: CallerHead,
+    head: RequestHead,
     route: Route,
     holder: KeyHolder,
     arrived_at: Instant,
--- a/mintsaddle/direct/_rank_calls.py
+++ b/mintsaddle/direct/_rank_calls.py
@@ -24,9 +24,9 @@
     call_rank,
     counts_call,
     decode_expert_counts,
+    decode_order_outcome,
     decode_rank_experts,
     decode_rank_report,
-    decode_verdict,
     experts_call,
     order_call,
     report_call,
@@ -181,7 +181,10 @@
             found = {r: over_network[group.ranks[r].address] for r in calls}
         else:
             found = self._ask_ranks(group, calls)
-        return {order: decode_verdict(found[order.rank].answers[0]) for order in orders}
+        return {
+            order: decode_order_outcome(found[order.rank].answers[0])
+            for order in orders
+        }
 
     def _ask_ranks(
         self, group: RankGroup, calls: Mapping[int, Sequence[RankCall]]
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -41,10 +41,10 @@
 from mintsaddle.direct._watchdog import Watchdog, Watched
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.platform import (
-    AnswerHead,
-    make_answer_headers,
+    ResponseHead,
     make_endpoint_headers,
-    read_answer_head,
+    make_response_headers,
+    read_response_head,
 )
 from mintsaddle.values import Instant, Reason
 
@@ -64,7 +64,7 @@
     exchange: Exchange
     watched: Watched
     response: http.client.HTTPResponse
-    head: AnswerHead
+    head: ResponseHead
 
 
 class CallRunner:
@@ -104,7 +104,7 @@
             if isinstance(found, _Attempt):
                 if found.head.is_stream:
                     self._call = self._call._replace(response_started=True)
-                    headers = make_answer_headers(found.response)
+                    headers = make_response_headers(found.response)
                     events = self._relay(found)
                     return StreamAnswer(found.head.status, headers, events)
                 answer = self._take_whole(found)
@@ -173,13 +173,13 @@
             self._log_broken(endpoint, error)
             is_silent = self._gateway.now() >= watched.end_at
             return Ending.SILENT if is_silent else Ending.BROKEN, None
-        head = read_answer_head(response, call.request_id, endpoint.slots)
+        head = read_response_head(response, call.request_id, endpoint.slots)
         self._record_head(endpoint, head)
         if head.is_misdirected:
             if not head.at_fault:
                 self._gateway.record_moved(endpoint.name)
             return Ending.MISDIRECTED, None
-        if head.never_ran:
+        if head.not_executed:
             place = endpoint.place
             if head.at_fault and place is not None:
                 self._gateway.record_group_refusal(
@@ -187,7 +187,7 @@
                 )
                 return Ending.GROUP_DOWN, None
             return Ending.NOT_RUN, None
-        if not head.is_ours:
+        if not head.is_authentic:
             return Ending.BROKEN, None
         return Ending.BROKEN, _Attempt(endpoint, exchange, watched, response, head)
 
@@ -209,7 +209,7 @@
             self._log_broken(attempt.endpoint, error)
         else:
             is_whole = True
-            headers = make_answer_headers(attempt.response)
+            headers = make_response_headers(attempt.response)
             answer = WholeAnswer(attempt.head.status, headers, body)
             repeat = self._call.route.repeat
             if attempt.head.status < _SERVER_ERROR or repeat is Repeat.ONCE:
@@ -290,7 +290,7 @@
         )
         return decision if isinstance(decision, GiveUp) else None
 
-    def _record_head(self, endpoint: Incarnation, head: AnswerHead) -> None:
+    def _record_head(self, endpoint: Incarnation, head: ResponseHead) -> None:
         gateway = self._gateway
         if not head.is_misdirected:
             gateway.record_rate_limit(endpoint.name, head.rate_limit, gateway.now())
--- a/mintsaddle/platform/__init__.py
+++ b/mintsaddle/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform, read only: its protocols and spelling, decoded once."""
+"""Read-only access to the platform, translated into internal types."""
 
 from mintsaddle.platform._client import PlatformValue, watch_value
 from mintsaddle.platform._items import (
@@ -8,21 +8,21 @@
 )
 from mintsaddle.platform._messages import (
     READY_PATH,
-    AnswerHead,
-    CallerHead,
-    make_answer_headers,
+    RequestHead,
+    ResponseHead,
     make_endpoint_headers,
     make_refusal,
-    read_answer_head,
-    read_caller_head,
+    make_response_headers,
+    read_request_head,
+    read_response_head,
 )
 from mintsaddle.platform._ranks import (
     call_rank,
     counts_call,
     decode_expert_counts,
+    decode_order_outcome,
     decode_rank_experts,
     decode_rank_report,
-    decode_verdict,
     experts_call,
     order_call,
     report_call,
@@ -33,27 +33,27 @@
 __all__ = [
     "PUBLISHED_PREFIX",
     "READY_PATH",
-    "AnswerHead",
-    "CallerHead",
     "PlatformValue",
+    "RequestHead",
+    "ResponseHead",
     "StoreClient",
     "StoreProblem",
     "call_rank",
     "counts_call",
     "decode_expert_counts",
     "decode_items",
+    "decode_order_outcome",
     "decode_rank_experts",
     "decode_rank_report",
-    "decode_verdict",
     "experts_call",
     "is_followed_key",
     "load_direct_settings",
-    "make_answer_headers",
     "make_endpoint_headers",
     "make_refusal",
+    "make_response_headers",
     "order_call",
-    "read_answer_head",
-    "read_caller_head",
+    "read_request_head",
+    "read_response_head",
     "report_call",
     "settings_path",
     "watch_value",
--- a/mintsaddle/platform/__main__.py
+++ b/mintsaddle/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Run a direct entry by the platform's settings file."""
+"""Run a direct entry with the platform's settings file."""
 
 from mintsaddle.direct import run_settings_file
 from mintsaddle.platform import settings_path
--- a/mintsaddle/platform/_client.py
+++ b/mintsaddle/platform/_client.py
@@ -1,8 +1,9 @@
-"""Reading and watching a published value over HTTP.
+"""HTTP client that reads and watches a published value.
 
-``GET /v1/values/NAME?after=REVISION&wait=SECONDS`` answers 200 with a JSON
-object of ``revision`` and ``value`` once a newer revision stands, and 304
-when none came within the wait. A waiting watch counts as one call.
+``GET /v1/values/NAME?after=REVISION&wait=SECONDS`` responds with 200 and a
+JSON object with ``revision`` and ``value`` once there is a newer revision, or
+with 304 if there is none within the wait. A watch counts as one call,
+however long it waits.
 """
 
 import http.client
@@ -11,10 +12,10 @@
 
 from returns.result import Failure, Result, Success
 
-LARGEST_ANSWER = 4 * 1_048_576
-"""Bytes; a value of a megabyte fits after JSON has escaped it."""
+MAX_RESPONSE_BYTES = 4 * 1_048_576
+"""Largest response body; fits a value of 1 MB after JSON escaping."""
 
-_SLACK = 5.0
+_TIMEOUT_SLACK_SECONDS = 5.0
 
 
 class PlatformValue(NamedTuple):
@@ -33,17 +34,20 @@
         address: IP and port of the platform's service.
         name: ``fleet`` or ``marks``.
         after: The newest known revision.
-        wait: Seconds that the platform may hold the call; 0 reads at once.
+        wait: Seconds for which the platform may delay its response; 0 reads
+            at once.
 
     Returns:
-        The newer value, or None if there is none; a failure that says what
-        went wrong when the platform is down or answers nonsense.
+        The newer value, or None if there is none; a failure with a message if
+        the platform is unreachable or its response is invalid.
     """
-    connection = http.client.HTTPConnection(address, timeout=wait + _SLACK)
+    connection = http.client.HTTPConnection(
+        address, timeout=wait + _TIMEOUT_SLACK_SECONDS
+    )
     try:
         connection.request("GET", f"/v1/values/{name}?after={after}&wait={wait:g}")
         response = connection.getresponse()
-        body = response.read(LARGEST_ANSWER + 1)
+        body = response.read(MAX_RESPONSE_BYTES + 1)
     except (OSError, http.client.HTTPException) as error:
         return Failure(f"can't read '{name}': {type(error).__name__}")
     finally:
@@ -52,18 +56,18 @@
         return Success(None)
     if response.status != http.client.OK:
         return Failure(f"can't read '{name}': status {response.status}")
-    return _read_value(name, body, after)
+    return _decode_value(name, body, after)
 
 
-def _read_value(
+def _decode_value(
     name: str, body: bytes, after: int
 ) -> Result[PlatformValue | None, str]:
-    """Guard against a huge or garbage value, which must not stop a daemon."""
-    if len(body) > LARGEST_ANSWER:
-        return Failure(f"'{name}' is over {LARGEST_ANSWER} bytes")
+    """Decode a response; a huge or invalid one must not stop a daemon."""
+    if len(body) > MAX_RESPONSE_BYTES:
+        return Failure(f"'{name}' is over {MAX_RESPONSE_BYTES} bytes")
     try:
-        answer = json.loads(body)
-        value = PlatformValue(int(answer["revision"]), str(answer["value"]))
+        content = json.loads(body)
+        value = PlatformValue(int(content["revision"]), str(content["value"]))
     except (ValueError, TypeError, KeyError) as error:
         return Failure(f"'{name}' is unreadable: {type(error).__name__}")
     if value.revision <= after:
--- a/mintsaddle/platform/_configuration.py
+++ b/mintsaddle/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded into a routing table."""
+"""Decoding of the operator's configuration into a routing table."""
 
 import json
 from collections import defaultdict
@@ -22,23 +22,22 @@
 
 _STREAMING = "streaming"
 _IDEMPOTENT = "idempotent"
-_BITS = 8
+_BITS_PER_BYTE = 8
 _KILO = 1000
 
 
 def decode_table(value: bytes) -> Result[RoutingTable, str]:
-    """Return the table that a published configuration holds.
+    """Return the routing table in a published configuration.
 
-    Guards against a configuration that can't be read: it changes nothing, and
-    the one in force stays.
+    An invalid configuration is a failure; the caller keeps the current table.
     """
     try:
-        return Success(_decode(json.loads(value)))
+        return Success(_decode_configuration(json.loads(value)))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         return Failure(f"{type(error).__name__}: {error}")
 
 
-def _decode(values: Mapping[str, Any]) -> RoutingTable:
+def _decode_configuration(values: Mapping[str, Any]) -> RoutingTable:
     hosts: dict[str, list[Route]] = defaultdict(list)
     for entry in values["routes"]:
         route = _decode_route(entry)
@@ -59,7 +58,7 @@
 
 
 def _decode_route(values: Mapping[str, Any]) -> Route:
-    # Either one service or several with weights is given.
+    # A route has either one service or several with weights.
     weighted = values.get("weighted_backends")
     if weighted:
         destinations = tuple(
@@ -86,12 +85,12 @@
     )
 
 
-def _decode_repeat(kind: str, resumable: bool) -> Repeat:
+def _decode_repeat(kind: str, is_resumable: bool) -> Repeat:
     if kind == _IDEMPOTENT:
         return Repeat.IDEMPOTENT
-    if kind == _STREAMING and resumable:
+    if kind == _STREAMING and is_resumable:
         return Repeat.RESUMABLE
-    # A kind that isn't known may not be repeated: that is always safe.
+    # Requests of an unknown kind are never repeated, which is always safe.
     return Repeat.ONCE
 
 
@@ -112,7 +111,7 @@
     if not engine.get("step_ms"):
         return None
     usual = engine.get("usual") or {}
-    # Half of an answer is written on average.
+    # On average, half of the response has been generated.
     context = float(usual.get("prompt") or 0) + float(usual.get("answer") or 0) / 2
     per_context = float(engine.get("context_per_k") or 0) * context / _KILO
     per_request = float(engine.get("per_seq_ms") or 0) + per_context
@@ -126,14 +125,14 @@
 def _decode_experts(engine: Mapping[str, Any]) -> ExpertLayout | None:
     if not engine.get("experts"):
         return None
-    megabits = float(engine.get("expert_mb") or 0) * _BITS
+    megabits = float(engine.get("expert_mb") or 0) * _BITS_PER_BYTE
     link = float(engine.get("link_mbps") or 0)
     return ExpertLayout(
-        # The platform's set is our layer.
+        # The platform calls a layer a set.
         layers=int(engine["sets"]),
         experts=int(engine["experts"]),
         places=int(engine["places"]),
-        # What the platform calls spare is what one map may bring anew.
+        # The platform's "spare" places limit the experts that one map may add.
         new_places=int(engine["spare"]),
         load_seconds=megabits / link if link > 0 else 0.0,
     )
@@ -149,7 +148,8 @@
 
 
 def _decode_keys(tenants: Any) -> dict[str, KeyHolder] | None:
-    # The platform's tenant is our workspace; no list means no keys at all.
+    # The platform calls a workspace a tenant. Without a list, no keys are
+    # needed.
     if not tenants:
         return None
     keys: dict[str, KeyHolder] = {}
--- a/mintsaddle/platform/_items.py
+++ b/mintsaddle/platform/_items.py
@@ -1,4 +1,4 @@
-"""The store's items, decoded into facts for the directory."""
+"""Decoding of the store's items into updates of the directory."""
 
 import json
 from collections.abc import Iterable
@@ -22,41 +22,41 @@
 from mintsaddle.values import MILLISECONDS, Instant
 
 PUBLISHED_PREFIX = ""
-"""What entries follow: the operator's part and the endpoints' announcements
-together, since two watches cost twice the calls."""
+"""Prefix of the keys that entries watch. It covers both the operator's items
+and the endpoints' announcements, since two watches cost twice the calls."""
 
 _ENDPOINT_PREFIX = "servers/"
 
 _TABLE_KEY = "op/config"
-_OUT_PREFIX = "op/evacuate/"
-_STATES = frozenset({"ready", "draining"})
+_EVACUATION_PREFIX = "op/evacuate/"
+_ENDPOINT_STATES = frozenset({"ready", "draining"})
 _log = make_logger("platform")
 
 
 def is_followed_key(key: str) -> bool:
-    """Return whether a key is one that entries act on.
+    """Return whether entries act on a key.
 
-    Guards against other users of the store, whose items would fill the copy
-    and every message to peers.
+    Items of other users of the store would fill the replica and every message
+    to peers.
     """
-    return key == _TABLE_KEY or key.startswith((_OUT_PREFIX, _ENDPOINT_PREFIX))
+    return key == _TABLE_KEY or key.startswith((_EVACUATION_PREFIX, _ENDPOINT_PREFIX))
 
 
 def decode_items(items: Iterable[PublishedItem], now: Instant) -> list[DirectoryUpdate]:
-    """Return the facts that changed items hold; unreadable ones are logged."""
-    facts: list[DirectoryUpdate] = []
+    """Return the updates in changed items; unreadable ones are logged."""
+    updates: list[DirectoryUpdate] = []
     for item in items:
-        fact = _decode_item(item, now)
-        if fact is not None:
-            facts.append(fact)
-    return facts
+        update = _decode_item(item, now)
+        if update is not None:
+            updates.append(update)
+    return updates
 
 
 def _decode_item(item: PublishedItem, now: Instant) -> DirectoryUpdate | None:
     if item.key == _TABLE_KEY:
         return _decode_table_item(item)
-    if item.key.startswith(_OUT_PREFIX):
-        name = item.key.removeprefix(_OUT_PREFIX)
+    if item.key.startswith(_EVACUATION_PREFIX):
+        name = item.key.removeprefix(_EVACUATION_PREFIX)
         return (
             DataCentreReinstated(name)
             if item.value is None
@@ -82,10 +82,10 @@
 
 
 def _decode_endpoint(item: PublishedItem, now: Instant) -> DirectoryUpdate:
-    """Return the announcement, or a removal when it can't be read.
+    """Return the announcement, or a removal if it is invalid.
 
-    Another writer may leave fields out, write other types or garbage; such an
-    announcement names no endpoint to use.
+    Other writers may omit fields, or write wrong types or invalid JSON. An
+    endpoint with such an announcement isn't used.
     """
     name = item.key.removeprefix(_ENDPOINT_PREFIX)
     if item.value is None:
@@ -104,11 +104,14 @@
     service, address, zone = values["service"], values["address"], values["zone"]
     state, slots = values["state"], values["slots"]
     cold_ms, born = values.get("cold_left_ms", 0), values.get("born", 0)
-    texts_good = all(isinstance(text, str) and text for text in (service, zone))
-    if not texts_good or state not in _STATES:
+    are_texts_valid = all(isinstance(text, str) and text for text in (service, zone))
+    if not are_texts_valid or state not in _ENDPOINT_STATES:
         raise ValueError("service, zone or state is of no known form")
     numbers = (slots, cold_ms, born)
-    if not all(isinstance(n, int | float) and not isinstance(n, bool) for n in numbers):
+    if not all(
+        isinstance(number, int | float) and not isinstance(number, bool)
+        for number in numbers
+    ):
         raise ValueError("slots, cold_left_ms or born is no number")
     host, _, port = str(address).rpartition(":")
     if not host or not 0 < int(port) < 65_536:
--- a/mintsaddle/platform/_messages.py
+++ b/mintsaddle/platform/_messages.py
@@ -1,8 +1,7 @@
-"""Heads of requests and answers, between the platform's spelling and types.
+"""Translation of HTTP headers between the platform's names and typed values.
 
-Callers and endpoints share one set of headers; which ones concern a single
-connection, which ones the system sets itself and what they hold is known here
-only.
+Callers and endpoints use the same set of headers. Only this module knows which
+of them are hop-by-hop, which ones the system sets itself, and their formats.
 """
 
 import http.client
@@ -21,19 +20,19 @@
 _REQUEST_ID = "X-Mintsaddle-Attempt-Id"
 _SIGNATURE = "X-Mintsaddle-Response-Stamp"
 _DEADLINE = "X-Mintsaddle-Deadline-Ms"
-_EXPECT = "X-Mintsaddle-Expect-Instance"
+_EXPECTED_ENDPOINT = "X-Mintsaddle-Expect-Instance"
 _WORKSPACE = "X-Mintsaddle-Tenant"
 _URGENCY = "X-Mintsaddle-Request-Urgency"
-_NEVER_RAN = "X-Mintsaddle-Not-Executed"
+_NOT_EXECUTED = "X-Mintsaddle-Not-Executed"
 _LOAD = "X-Mintsaddle-Server-Load"
 _RATE_LIMITS = ("X-Mintsaddle-Server-Limit", "Server-Limit")
-"""The page names it without the prefix that its other headers bear."""
+"""The header is documented without the prefix that the others have."""
 
-_AT_FAULT = "At-Server"
-_KEY = "Api-Key"
-_LAST_EVENT = "Last-Event-Id"
+_FAULTY_ENDPOINT = "At-Server"
+_API_KEY = "Api-Key"
+_LAST_EVENT_ID = "Last-Event-Id"
 
-_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "expect",
@@ -47,73 +46,73 @@
         "upgrade",
     }
 )
-_SET_HERE = frozenset(
+_REPLACED_HEADERS = frozenset(
     name.lower()
     for name in (
-        _KEY,
+        _API_KEY,
         _WORKSPACE,
-        _EXPECT,
+        _EXPECTED_ENDPOINT,
         _DEADLINE,
-        _LAST_EVENT,
+        _LAST_EVENT_ID,
         _URGENCY,
         "Content-Length",
     )
 )
-_NOT_PASSED_BACK = frozenset({"content-length", "date"}) | _ONE_CONNECTION
-_IDLE_TIMEOUT = re.compile(r"\btimeout=(?P<seconds>\d+)")
-_MISDIRECTED = 421
-_IN_DOUBT_LATE = frozenset({Reason.TOO_LATE, Reason.SILENT})
-_SMALLEST_RETRY = 0.02
+_REMOVED_RESPONSE_HEADERS = frozenset({"content-length", "date"}) | _HOP_BY_HOP_HEADERS
+_KEEP_ALIVE_TIMEOUT = re.compile(r"\btimeout=(?P<seconds>\d+)")
+_MISDIRECTED_STATUS = 421
+_TIMEOUT_REASONS = frozenset({Reason.TOO_LATE, Reason.SILENT})
+_MIN_RETRY_AFTER_SECONDS = 0.02
 
 
-class CallerHead(NamedTuple):
-    """What a caller's head says besides what is only passed on."""
+class RequestHead(NamedTuple):
+    """Decoded headers of a caller's request, except those only passed on."""
 
     request_id: str
-    """The caller's name for this attempt; an empty string if it sent none."""
+    """The caller's id for this attempt; an empty string if it sent none."""
 
     key: str
     seconds_left: float | None
-    """How long the caller waits from now on; None when it doesn't say."""
+    """Remaining time until the caller's deadline; None if it sent none."""
 
     last_event: int | None
-    """The last event that it has of a stream that it resumes."""
+    """Id of the last event that the caller received of a resumed stream."""
 
 
-class AnswerHead(NamedTuple):
-    """What an endpoint's head says."""
+class ResponseHead(NamedTuple):
+    """Decoded status and headers of an endpoint's response."""
 
     status: int
-    is_ours: bool
-    """Whether it answers this very request and bears the signature."""
+    is_authentic: bool
+    """Whether it has the request's id and a signature, and isn't encoded."""
 
-    never_ran: bool
-    """Whether the endpoint promises that it has not run the request."""
+    not_executed: bool
+    """Whether the endpoint guarantees that it has not run the request."""
 
     is_misdirected: bool
-    """Whether another endpoint has the address by now."""
+    """Whether the address now belongs to another endpoint."""
 
     is_stream: bool
     load: Load | None
     rate_limit: float | None
-    """Requests a second that it takes from all entries together; None when it
-    names no limit."""
+    """Requests per second that it accepts from all entries together; None
+    without a limit."""
 
     at_fault: str
-    """Endpoint that it names as the cause of a refusal."""
+    """Endpoint that caused a refusal; an empty string if none is named."""
 
     idle_seconds: float | None
-    """Seconds after which it closes the connection if that stays idle; 0 for
-    at once, None if it doesn't say."""
+    """Seconds after which it closes an idle connection; 0 if it closes the
+    connection at once, None if unknown."""
 
 
-def read_caller_head(environ: Mapping[str, Any]) -> CallerHead:
-    """Return what a WSGI environment says of the caller's request."""
-    return CallerHead(
-        request_id=_caller_header(environ, _REQUEST_ID),
-        key=_caller_header(environ, _KEY),
-        seconds_left=_read_seconds(_caller_header(environ, _DEADLINE)),
-        last_event=_read_event_id(_caller_header(environ, _LAST_EVENT)),
+def read_request_head(environ: Mapping[str, Any]) -> RequestHead:
+    """Return the decoded headers of a request from its WSGI environment."""
+    return RequestHead(
+        request_id=_request_header(environ, _REQUEST_ID),
+        key=_request_header(environ, _API_KEY),
+        seconds_left=_read_seconds(_request_header(environ, _DEADLINE)),
+        last_event=_read_event_id(_request_header(environ, _LAST_EVENT_ID)),
     )
 
 
@@ -129,64 +128,71 @@
 
     Args:
         environ: The caller's WSGI environment.
-        endpoint: The run of the endpoint that is meant; another one that has
-            its address by now refuses.
-        workspace: The holder of the caller's key, whatever the caller says.
-        seconds_left: How long the endpoint may work.
-        last_event: The last event that the caller has, if there is one.
-        urgency: 0 (first) to 9, for endpoints that admit by it.
+        endpoint: Name of the endpoint's incarnation; another one that now has
+            the same address refuses the request.
+        workspace: The workspace that owns the caller's key, regardless of any
+            header that the caller sent.
+        seconds_left: Time that the endpoint has for the request.
+        last_event: Id of the last event that the caller received, if any.
+        urgency: 0 (most urgent) to 9, for endpoints that admit by urgency.
     """
-    named = str(environ.get("HTTP_CONNECTION", "")).split(",")
-    dropped = {name.strip().lower() for name in named} | _ONE_CONNECTION | _SET_HERE
+    listed = str(environ.get("HTTP_CONNECTION", "")).split(",")
+    dropped = (
+        {name.strip().lower() for name in listed}
+        | _HOP_BY_HOP_HEADERS
+        | _REPLACED_HEADERS
+    )
     headers = [
         (name, value)
-        for name, value in _caller_headers(environ)
+        for name, value in _request_headers(environ)
         if name.lower() not in dropped
     ]
-    left = max(1, math.floor(seconds_left * MILLISECONDS))
-    headers += [(_DEADLINE, str(left)), (_EXPECT, endpoint)]
+    remaining_ms = max(1, math.floor(seconds_left * MILLISECONDS))
+    headers += [(_DEADLINE, str(remaining_ms)), (_EXPECTED_ENDPOINT, endpoint)]
     if workspace:
         headers.append((_WORKSPACE, workspace))
     if urgency is not None:
         headers.append((_URGENCY, str(urgency)))
     if last_event is not None:
-        headers.append((_LAST_EVENT, str(last_event)))
+        headers.append((_LAST_EVENT_ID, str(last_event)))
     return headers
 
 
-def read_answer_head(
+def read_response_head(
     response: http.client.HTTPResponse, request_id: str, slots: int
-) -> AnswerHead:
-    """Return what an endpoint's head says.
+) -> ResponseHead:
+    """Return the decoded status and headers of an endpoint's response.
 
     Args:
-        response: The endpoint's answer, its head read.
-        request_id: The request that was sent.
-        slots: Places of the endpoint, where its load doesn't tell.
+        response: The response, whose headers have been received.
+        request_id: Id of the request that was sent.
+        slots: Slots of the endpoint, used if its load header omits them.
     """
     headers = response.headers
     is_encoded = headers.get("Content-Encoding") is not None
-    is_same = headers.get(_REQUEST_ID) == request_id
-    is_misdirected = response.status == _MISDIRECTED
-    return AnswerHead(
+    has_request_id = headers.get(_REQUEST_ID) == request_id
+    is_misdirected = response.status == _MISDIRECTED_STATUS
+    return ResponseHead(
         status=response.status,
-        is_ours=is_same and headers.get(_SIGNATURE) is not None and not is_encoded,
-        never_ran=headers.get(_NEVER_RAN) is not None or is_misdirected,
+        is_authentic=has_request_id
+        and headers.get(_SIGNATURE) is not None
+        and not is_encoded,
+        not_executed=headers.get(_NOT_EXECUTED) is not None or is_misdirected,
         is_misdirected=is_misdirected,
         is_stream=headers.get("Content-Type", "").startswith(EVENT_STREAM),
         load=_read_load(headers.get(_LOAD, ""), slots),
-        rate_limit=_read_rate(headers),
-        at_fault=headers.get(_AT_FAULT, ""),
-        idle_seconds=_read_idle(response),
+        rate_limit=_read_rate_limit(headers),
+        at_fault=headers.get(_FAULTY_ENDPOINT, ""),
+        idle_seconds=_read_idle_seconds(response),
     )
 
 
-def make_answer_headers(
+def make_response_headers(
     response: http.client.HTTPResponse,
 ) -> list[tuple[str, str]]:
-    """Return an endpoint's headers as they are passed on to the caller."""
-    named = response.headers.get("Connection", "").split(",")
-    dropped = {name.strip().lower() for name in named} | _NOT_PASSED_BACK
+    """Return the headers of a response to pass on to the caller."""
+    listed = response.headers.get("Connection", "").split(",")
+    dropped = {name.strip().lower() for name in listed} | _REMOVED_RESPONSE_HEADERS
     return [
         (name, value)
         for name, value in response.headers.items()
@@ -197,22 +203,22 @@
 def make_refusal(
     outcome: Outcome, reason: Reason, request_id: str, retry_after: float
 ) -> tuple[str, list[tuple[str, str]]]:
-    """Return status line and headers for a request that isn't served.
+    """Return the status line and headers for a request that isn't served.
 
-    503 promises that the request has not run and never will; 502 and 504
-    promise nothing.
+    503 guarantees that the request has not run and never will; 502 and 504
+    leave open whether it ran.
     """
     headers = [(_REQUEST_ID, request_id)] if request_id else []
     if outcome is Outcome.NOT_RUN:
-        seconds = max(_SMALLEST_RETRY, retry_after)
+        seconds = max(_MIN_RETRY_AFTER_SECONDS, retry_after)
         headers.append(("Retry-After", f"{seconds:.2f}"))
         return "503 Service Unavailable", headers
-    if reason in _IN_DOUBT_LATE:
+    if reason in _TIMEOUT_REASONS:
         return "504 Gateway Timeout", headers
     return "502 Bad Gateway", headers
 
 
-def _caller_headers(environ: Mapping[str, Any]) -> Iterable[tuple[str, str]]:
+def _request_headers(environ: Mapping[str, Any]) -> Iterable[tuple[str, str]]:
     for name, value in environ.items():
         if name.startswith("HTTP_"):
             yield name[5:].replace("_", "-").title(), str(value)
@@ -220,16 +226,16 @@
         yield "Content-Type", str(environ["CONTENT_TYPE"])
 
 
-def _caller_header(environ: Mapping[str, Any], name: str) -> str:
+def _request_header(environ: Mapping[str, Any], name: str) -> str:
     key = f"HTTP_{name.upper().replace('-', '_')}"
     return str(environ.get(key, "")).strip()
 
 
-def _read_idle(response: http.client.HTTPResponse) -> float | None:
+def _read_idle_seconds(response: http.client.HTTPResponse) -> float | None:
     if response.will_close:
         return 0.0
-    found = _IDLE_TIMEOUT.search(response.headers.get("Keep-Alive", ""))
-    return float(found["seconds"]) if found else None
+    match = _KEEP_ALIVE_TIMEOUT.search(response.headers.get("Keep-Alive", ""))
+    return float(match["seconds"]) if match else None
 
 
 def _read_seconds(text: str) -> float | None:
@@ -239,10 +245,10 @@
         return None
 
 
-def _read_rate(headers: http.client.HTTPMessage) -> float | None:
-    named = [headers[name] for name in _RATE_LIMITS if name in headers]
+def _read_rate_limit(headers: http.client.HTTPMessage) -> float | None:
+    found = [headers[name] for name in _RATE_LIMITS if name in headers]
     try:
-        rate = float(named[0]) if named else math.inf
+        rate = float(found[0]) if found else math.inf
     except ValueError:
         return None
     return max(0.0, rate) if math.isfinite(rate) else None
@@ -253,7 +259,7 @@
 
 
 def _read_load(text: str, slots: int) -> Load | None:
-    """Return the load: running, waiting and places, separated by commas."""
+    """Return the load from ``RUNNING,QUEUED[,SLOTS]``."""
     parts = [part.strip() for part in text.split(",")]
     if len(parts) < 2 or not all(part.isdecimal() for part in parts):
         return None
--- a/mintsaddle/platform/_ranks.py
+++ b/mintsaddle/platform/_ranks.py
@@ -1,4 +1,4 @@
-"""A rank's engine: its reports, counts and orders, in the product's types."""
+"""Calls to a rank's engine: reports, expert counts and map orders."""
 
 import http.client
 import json
@@ -14,94 +14,98 @@
 )
 from mintsaddle.rank_agent import NO_ANSWER, RankAnswer, RankCall
 
-CALL_SECONDS = 0.4
-"""Seconds for an engine's answer, which needs no place there: a round trip
-takes 2 ms and a step up to 0.15 s."""
+CALL_TIMEOUT_SECONDS = 0.4
+"""Timeout for an engine's response. Such a call occupies no slot of the
+engine; a round trip takes 2 ms and a step up to 0.15 s."""
 
-ORDER_SECONDS = 0.12
-"""Seconds for the answer to an order: a group may be waiting for it. Answers
-come within 5 ms mostly and 45 ms at most; one that comes later counts as lost,
-and the order is sent again, which changes nothing."""
+ORDER_TIMEOUT_SECONDS = 0.12
+"""Timeout for the response to an order, for which a group may be waiting. Most
+responses take up to 5 ms and the slowest 45 ms. A later one counts as lost,
+and the order, which is idempotent, is sent again."""
 
 _REPORT_PATH = "/mintsaddle/report"
 _COUNTS_PATH = "/mintsaddle/picked"
 _ORDER_PATH = "/mintsaddle/order"
-_LARGEST_ANSWER = 1_048_576
-_ACTS = {
+_MAX_RESPONSE_BYTES = 1_048_576
+_OPERATIONS = {
     OrderAct.PREPARE: "prepare",
     OrderAct.HOLD: "hold",
     OrderAct.ARM: "arm",
     OrderAct.DISARM: "disarm",
-    # The platform's word for letting a held step begin.
+    # The platform's name for starting a held step.
     OrderAct.RELEASE: "go",
 }
-_VERDICTS = {200: OrderOutcome.DONE, 202: OrderOutcome.BEGUN, 409: OrderOutcome.REFUSED}
+_ORDER_OUTCOMES = {
+    200: OrderOutcome.DONE,
+    202: OrderOutcome.BEGUN,
+    409: OrderOutcome.REFUSED,
+}
 
 
 def report_call() -> RankCall:
-    """Return the call that asks a rank's engine what it says of itself."""
+    """Return the call that requests the report of a rank's engine."""
     return RankCall("GET", _REPORT_PATH)
 
 
 def decode_rank_report(answer: RankAnswer, rank: int) -> Result[RankReport, str]:
-    """Return what a rank's engine says of itself.
+    """Return the report of a rank's engine.
 
     Args:
-        answer: The answer to a ``report_call``.
-        rank: The rank that was meant.
+        answer: The response to a ``report_call``.
+        rank: The rank that was called.
     """
     return _check_status(answer).bind(lambda body: _decode_report(body, rank))
 
 
 def counts_call() -> RankCall:
-    """Return the call that asks how often experts were chosen."""
+    """Return the call that requests how often experts were chosen."""
     return RankCall("GET", _COUNTS_PATH)
 
 
 def decode_expert_counts(
     answer: RankAnswer, layers: int, experts: int
 ) -> Result[tuple[tuple[int, ...], ...], str]:
-    """Return how often a rank's requests chose each expert since its start."""
+    """Return how often each expert was chosen since the rank's start."""
     decoded = _check_status(answer)
     return decoded.bind(lambda body: _decode_counts(body, layers, experts))
 
 
 def experts_call() -> RankCall:
-    """Return the call that asks which experts a rank holds."""
+    """Return the call that requests which experts a rank holds."""
     return RankCall("GET", f"{_COUNTS_PATH}?lists=1")
 
 
 def decode_rank_experts(answer: RankAnswer) -> Result[tuple[tuple[int, ...], ...], str]:
-    """Return the experts that a rank holds by the map in use, by layer."""
+    """Return the experts of each layer in the rank's active map."""
     return _check_status(answer).bind(_decode_experts)
 
 
 def order_call(order: MapOrder) -> RankCall:
-    """Return the call that gives a rank's engine an order."""
+    """Return the call that sends an order to a rank's engine."""
     body = json.dumps(_encode_order(order), separators=(",", ":"))
     return RankCall("POST", _ORDER_PATH, body)
 
 
-def decode_verdict(answer: RankAnswer) -> OrderOutcome:
-    """Return how a rank's engine answered an order."""
+def decode_order_outcome(answer: RankAnswer) -> OrderOutcome:
+    """Return the outcome of an order from the engine's response."""
     if answer.status == NO_ANSWER.status:
         return OrderOutcome.UNKNOWN
-    # 421 and 503 come from an engine that has nothing of ours.
-    return _VERDICTS.get(answer.status, OrderOutcome.REFUSED)
+    # 421 and 503 come from an engine that holds none of our maps or orders.
+    return _ORDER_OUTCOMES.get(answer.status, OrderOutcome.REFUSED)
 
 
 def call_rank(address: str, call: RankCall) -> RankAnswer:
-    """Make a call to a rank's engine from afar, on a connection of its own."""
-    seconds = ORDER_SECONDS if call.body else CALL_SECONDS
-    connection = http.client.HTTPConnection(address, timeout=seconds)
+    """Call a rank's engine over the network, on a new connection."""
+    timeout_seconds = ORDER_TIMEOUT_SECONDS if call.body else CALL_TIMEOUT_SECONDS
+    connection = http.client.HTTPConnection(address, timeout=timeout_seconds)
     headers = {"Content-Type": "application/json"} if call.body else {}
     try:
         body = call.body.encode() or None
         connection.request(call.method, call.path, body, headers)
         response = connection.getresponse()
-        text = response.read(_LARGEST_ANSWER).decode(errors="replace")
+        text = response.read(_MAX_RESPONSE_BYTES).decode(errors="replace")
     except (OSError, http.client.HTTPException):
-        # Whoever asked logs what is missing and asks again.
+        # The caller logs the missing response and retries.
         return NO_ANSWER
     finally:
         connection.close()
@@ -109,7 +113,7 @@
 
 
 def _encode_order(order: MapOrder) -> dict[str, Any]:
-    values: dict[str, Any] = {"op": _ACTS[order.act], "epoch": order.epoch}
+    values: dict[str, Any] = {"op": _OPERATIONS[order.act], "epoch": order.epoch}
     if order.act in (OrderAct.PREPARE, OrderAct.ARM, OrderAct.DISARM):
         values["version"] = order.version
     if order.act in (OrderAct.HOLD, OrderAct.ARM, OrderAct.RELEASE):
@@ -132,7 +136,7 @@
         values = json.loads(body)
         group = values["group"]
         armed = values.get("armed")
-        # Either the version alone or a table that also names the step.
+        # Either the version alone, or an object that also contains the step.
         if isinstance(armed, dict):
             armed = armed.get("version")
         return Success(
@@ -144,10 +148,10 @@
                 step=int(values["step"]),
                 running=int(values.get("num_running") or 0),
                 version=int(values.get("map") or 0),
-                prepared=_optional(values.get("prepared")),
-                armed=_optional(armed),
-                held=_optional(values.get("held")),
-                # The platform's pace grows as the engine gets slower.
+                prepared=_decode_optional(values.get("prepared")),
+                armed=_decode_optional(armed),
+                held=_decode_optional(values.get("held")),
+                # The platform's "pace" is higher for a slower engine.
                 slowness=float(values.get("pace") or 1.0),
                 queued=int(values.get("queue_depth") or 0),
             )
@@ -158,7 +162,7 @@
 
 def _decode_experts(body: str) -> Result[tuple[tuple[int, ...], ...], str]:
     try:
-        # The platform's set is our layer.
+        # The platform calls a layer a set.
         experts = json.loads(body)["map"]["experts"]
         return Success(tuple(tuple(map(int, layer)) for layer in experts))
     except (ValueError, TypeError, KeyError) as error:
@@ -183,5 +187,5 @@
     return Success(decoded)
 
 
-def _optional(value: Any) -> int | None:
+def _decode_optional(value: Any) -> int | None:
     return None if value is None else int(value)
--- a/mintsaddle/platform/_settings.py
+++ b/mintsaddle/platform/_settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, decoded into the entry's settings.
+"""Decoding of the platform's settings file into the entry's settings.
 
-The path of the file stands in an environment variable; the file is TOML.
-Fields that aren't known here are ignored: new ones may come.
+An environment variable contains the path of the file, which is TOML. Unknown
+fields are ignored, because new ones may be added.
 """
 
 import os
@@ -15,32 +15,31 @@
 from mintsaddle.settings import DirectSettings
 from mintsaddle.values import MILLISECONDS, Finding, Findings
 
-_PATH_VARIABLE = "MINTSADDLE_NODE_FILE"
-_METRICS_PLACE = 0
-"""Place in the VM's port range of the metrics' port, which the deploy file
-names."""
+_PATH_ENV_VARIABLE = "MINTSADDLE_NODE_FILE"
+_METRICS_PORT_INDEX = 0
+"""Index of the metrics port in the VM's port range, as in the deploy file."""
 
-_AGENT_PLACE = 1
-"""Place in the port range of the port at which rank agents are reached, as the
-deploy file gives it to them; ports are the same on all VMs."""
+_AGENT_PORT_INDEX = 1
+"""Index in the port range of the port on which rank agents listen, as in the
+deploy file. Ports are the same on all VMs."""
 
-_LEASE_BEATS = 3
-"""Intervals between an endpoint's announcements after which it is dropped."""
+_HEARTBEATS_PER_LEASE = 3
+"""Intervals without an announcement after which an endpoint is dropped."""
 
-_USUAL_HEARTBEAT_MS = 1_200.0
-"""Interval between announcements where the file gives none."""
+_DEFAULT_HEARTBEAT_MS = 1_200.0
+"""Interval between announcements if the file contains none."""
 
-_NEWS_BOUNDS = ("config_apply_ms", "drain_ms", "evacuate_ms")
-"""Bounds of how soon a change of what is published takes effect."""
+_PROPAGATION_BOUNDS = ("config_apply_ms", "drain_ms", "evacuate_ms")
+"""Settings that limit how long a published change takes to apply."""
 
 
 def settings_path() -> str:
     """Return the path of this process's settings file."""
-    return os.environ.get(_PATH_VARIABLE, "/etc/mintsaddle/settings.toml")
+    return os.environ.get(_PATH_ENV_VARIABLE, "/etc/mintsaddle/settings.toml")
 
 
 def load_direct_settings(path: str) -> Result[DirectSettings, Findings]:
-    """Return the settings in the file, or everything wrong with it."""
+    """Return the settings in the file, or all findings about it."""
     try:
         text = Path(path).read_text(encoding="utf-8")
         values = tomllib.loads(text)
@@ -52,13 +51,13 @@
 def decode_settings(
     source: str, values: Mapping[str, Any]
 ) -> Result[DirectSettings, Findings]:
-    """Return the settings that a parsed file holds.
+    """Return the settings in a parsed file.
 
     Args:
         source: Name of the file, for the findings.
         values: The parsed TOML.
     """
-    reader = _Reader(source, values)
+    reader = _TableReader(source, values)
     bounds = reader.read_table("bounds")
     listen = reader.read_table("listen")
     platform = reader.read_table("platform")
@@ -72,12 +71,14 @@
         callers=listen.read_text("front"),
         ready=listen.read_text("ready_addr"),
         control=listen.read_text("control"),
-        metrics=f"{host}:{ports[_METRICS_PLACE]}" if ports else "",
+        metrics=f"{host}:{ports[_METRICS_PORT_INDEX]}" if ports else "",
         peers=tuple(str(address) for address in values.get("seeds") or ()),
-        agent_port=int(ports[_AGENT_PLACE]) if len(ports) > _AGENT_PLACE else 0,
+        agent_port=int(ports[_AGENT_PORT_INDEX])
+        if len(ports) > _AGENT_PORT_INDEX
+        else 0,
         store=platform.read_text("address"),
         stop_seconds=bounds.read_number("grace_s"),
-        news_within=min(bounds.read_number(name) for name in _NEWS_BOUNDS)
+        news_within=min(bounds.read_number(name) for name in _PROPAGATION_BOUNDS)
         / MILLISECONDS,
         lease=_read_lease(values),
         retry_share=bounds.read_number("retry_budget_ratio"),
@@ -103,12 +104,12 @@
 def _read_lease(values: Mapping[str, Any]) -> float:
     heartbeat = values.get("heartbeat_ms")
     if not isinstance(heartbeat, int | float) or heartbeat <= 0:
-        heartbeat = _USUAL_HEARTBEAT_MS
-    return _LEASE_BEATS * heartbeat / MILLISECONDS
+        heartbeat = _DEFAULT_HEARTBEAT_MS
+    return _HEARTBEATS_PER_LEASE * heartbeat / MILLISECONDS
 
 
-class _Reader:
-    """Reads the fields of one table and collects what is wrong with them."""
+class _TableReader:
+    """Reads the fields of one TOML table and collects findings."""
 
     def __init__(self, source: str, values: Mapping[str, Any], name: str = "") -> None:
         self._source = source
@@ -118,23 +119,23 @@
 
     @property
     def findings(self) -> Findings:
-        """What was wrong so far."""
+        """The findings so far."""
         return tuple(self._findings)
 
-    def read_table(self, key: str) -> "_Reader":
-        """Return a reader of a table within this one."""
+    def read_table(self, key: str) -> "_TableReader":
+        """Return a reader for a nested table."""
         value = self._values.get(key)
         if not isinstance(value, dict):
-            self._report(key, "is missing; a table is needed")
+            self._add_finding(key, "must be a table")
             value = {}
-        return _Reader(self._source, value, key)
+        return _TableReader(self._source, value, key)
 
     def read_text(self, key: str) -> str:
-        """Return a text that must not be empty."""
+        """Return a string that must not be empty."""
         value = self._values.get(key)
         if isinstance(value, str) and value:
             return value
-        self._report(key, "is missing; a text is needed")
+        self._add_finding(key, "must be a non-empty string")
         return ""
 
     def read_number(self, key: str) -> float:
@@ -142,8 +143,8 @@
         value = self._values.get(key)
         if isinstance(value, int | float) and value >= 0:
             return float(value)
-        self._report(key, "is missing; a number of 0 or more is needed")
+        self._add_finding(key, "must be a number of at least 0")
         return 0.0
 
-    def _report(self, key: str, problem: str) -> None:
+    def _add_finding(self, key: str, problem: str) -> None:
         self._findings.append(Finding(self._source, 0, self._name, key, problem))
--- a/mintsaddle/platform/_store.py
+++ b/mintsaddle/platform/_store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store: reading and watching by prefix."""
+"""Client that reads and watches key prefixes in the platform's store."""
 
 import base64
 import enum
@@ -14,21 +14,21 @@
 from mintsaddle.decisions.direct import PublishedItem, StoreResponse
 from mintsaddle.values import MILLISECONDS
 
-READ_SECONDS = 1.0
-"""Seconds for one answer: 250 times the store's usual 4 ms, so that a slow
-store is waited for and a silent connection costs one second only."""
+READ_TIMEOUT_SECONDS = 1.0
+"""Timeout for one response: 250 times the usual 4 ms, so that a slow store has
+time to respond and an unresponsive connection costs only one second."""
 
-_LARGEST_ANSWER = 4 * 1_048_576
+_MAX_RESPONSE_BYTES = 4 * 1_048_576
 _ERA_HEADERS = ("Store-Era", "X-Mintsaddle-Store-Era")
-"""Header that counts how often the store came back from an older copy; its
-name with and without the prefix that other headers have."""
+"""Header with the number of times that the store was restored from a backup;
+its name without and with the prefix that the other headers have."""
 
-_MOST_PAGES = 200
-"""Pages of one reading; 100,000 items at the store's 500 a page."""
+_MAX_PAGES = 200
+"""Most pages of one full read; 100,000 items at 500 items per page."""
 
 
 class StoreProblem(enum.Enum):
-    """Why the store gave nothing."""
+    """Why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
@@ -37,18 +37,18 @@
 
 
 class _Page(NamedTuple):
-    """One answer of the store."""
+    """One response of the store."""
 
     items: tuple[PublishedItem, ...]
-    at: int
-    """The store's revision as it was read."""
+    store_revision: int
+    """The store's revision when the page was read."""
 
     era: int | None
     has_more: bool
 
 
 class StoreClient:
-    """A kept connection to the store, for one thread."""
+    """Client of the store with a persistent connection; not thread-safe."""
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -59,27 +59,28 @@
     ) -> Result[StoreResponse, StoreProblem]:
         """Return all items under a prefix.
 
-        Pages are no snapshot, so the lowest revision of any page counts: what
-        changed after it comes again by the watch. Pages before and after the
-        store was restored don't belong together, and have to be read again.
+        The pages aren't read in one snapshot, so the result has the lowest
+        revision of any page; a watch repeats the changes after it. Pages from
+        before and after a restore of the store can't be combined, and have to
+        be read again.
 
         Args:
-            prefix: Keys that begin so are read.
-            allow_stale: Whether an answer that is seconds old will do; it
-                costs the store a tenth.
+            prefix: Prefix of the keys to read.
+            allow_stale: Whether the response may be seconds old, which costs
+                the store a tenth of the load.
         """
         pages: list[_Page] = []
-        while len(pages) < _MOST_PAGES:
-            match self._ask_page(prefix, pages, allow_stale=allow_stale):
+        while len(pages) < _MAX_PAGES:
+            match self._request_page(prefix, pages, allow_stale=allow_stale):
                 case Failure(problem):
                     return Failure(problem)
                 case Success(page):
                     pages.append(page)
                     if not page.has_more or not page.items:
-                        return _join_pages(pages, allow_stale=allow_stale)
+                        return _merge_pages(pages, allow_stale=allow_stale)
         return Failure(StoreProblem.UNREADABLE)
 
-    def _ask_page(
+    def _request_page(
         self, prefix: str, pages: list[_Page], *, allow_stale: bool
     ) -> Result[_Page, StoreProblem]:
         query = {"prefix": prefix}
@@ -87,7 +88,7 @@
             query["stale_ok"] = "1"
         if pages:
             query["after"] = pages[-1].items[-1].key
-        return self._get("kv-range", query, READ_SECONDS, "items")
+        return self._get("kv-range", query, READ_TIMEOUT_SECONDS, "items")
 
     def watch(
         self, prefix: str, position: int, wait: float
@@ -95,50 +96,58 @@
         """Wait for changes after a revision.
 
         Args:
-            prefix: Keys that begin so are watched.
-            position: The last revision that is known.
-            wait: Seconds that the store may hold the call.
+            prefix: Prefix of the keys to watch.
+            position: The last known revision.
+            wait: Seconds for which the store may delay its response.
         """
         query = {
             "prefix": prefix,
             "after": str(position),
             "wait_ms": str(int(wait * MILLISECONDS)),
         }
-        answer = self._get("kv-watch", query, wait + READ_SECONDS, "events")
-        return answer.map(
-            lambda page: StoreResponse(page.items, max(position, page.at), page.era)
+        decoded = self._get("kv-watch", query, wait + READ_TIMEOUT_SECONDS, "events")
+        return decoded.map(
+            lambda page: StoreResponse(
+                page.items, max(position, page.store_revision), page.era
+            )
         )
 
     def close(self) -> None:
-        """Close the connection; the next call opens another one."""
+        """Close the connection; the next call opens a new one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
     def _get(
-        self, call: str, query: Mapping[str, str], seconds: float, listing: str
+        self,
+        operation: str,
+        query: Mapping[str, str],
+        timeout_seconds: float,
+        items_key: str,
     ) -> Result[_Page, StoreProblem]:
         connection = self._connection
         if connection is None:
-            connection = http.client.HTTPConnection(self._address, timeout=seconds)
+            connection = http.client.HTTPConnection(
+                self._address, timeout=timeout_seconds
+            )
             self._connection = connection
         try:
             if connection.sock is None:
-                connection.timeout = READ_SECONDS
+                connection.timeout = READ_TIMEOUT_SECONDS
                 connection.connect()
-            connection.sock.settimeout(seconds)
-            connection.request("GET", f"/mintsaddle/{call}?{urlencode(query)}")
+            connection.sock.settimeout(timeout_seconds)
+            connection.request("GET", f"/mintsaddle/{operation}?{urlencode(query)}")
             response = connection.getresponse()
-            body = response.read(_LARGEST_ANSWER)
+            body = response.read(_MAX_RESPONSE_BYTES)
         except (OSError, http.client.HTTPException):
-            # A connection on which an answer was lost gives nothing any more.
+            # After a failed call, the connection can't be used any longer.
             self.close()
             return Failure(StoreProblem.UNREACHABLE)
-        era = _read_era(response)
-        answer = self._read_answer(response, body)
-        return answer.bind(lambda values: _read_page(values, listing, era))
+        era = _decode_era(response)
+        decoded = self._decode_body(response, body)
+        return decoded.bind(lambda values: _decode_page(values, items_key, era))
 
-    def _read_answer(
+    def _decode_body(
         self, response: http.client.HTTPResponse, body: bytes
     ) -> Result[dict[str, Any], StoreProblem]:
         if response.status == http.client.GONE:
@@ -147,37 +156,37 @@
             self.close()
             return Failure(StoreProblem.REFUSED)
         try:
-            answer = json.loads(body)
+            decoded = json.loads(body)
         except ValueError:
-            answer = None
-        if not isinstance(answer, dict):
+            decoded = None
+        if not isinstance(decoded, dict):
             self.close()
             return Failure(StoreProblem.UNREADABLE)
-        return Success(answer)
+        return Success(decoded)
 
 
-def _read_page(
-    values: Mapping[str, Any], listing: str, era: int | None
+def _decode_page(
+    values: Mapping[str, Any], items_key: str, era: int | None
 ) -> Result[_Page, StoreProblem]:
-    """Return an answer's items, which are listed under a name of the call."""
-    items, at = _read_items(values.get(listing)), values.get("at")
-    if items is None or not isinstance(at, int):
+    """Return the page in a response, whose items are under a given key."""
+    items, store_revision = _decode_items(values.get(items_key)), values.get("at")
+    if items is None or not isinstance(store_revision, int):
         return Failure(StoreProblem.UNREADABLE)
-    return Success(_Page(items, at, era, bool(values.get("has_more"))))
+    return Success(_Page(items, store_revision, era, bool(values.get("has_more"))))
 
 
-def _join_pages(
+def _merge_pages(
     pages: list[_Page], *, allow_stale: bool
 ) -> Result[StoreResponse, StoreProblem]:
     items = tuple(item for page in pages for item in page.items)
-    position = min(page.at for page in pages)
+    position = min(page.store_revision for page in pages)
     era = pages[0].era
     if allow_stale:
-        # The revision that an old page names may be newer than its items.
+        # A stale page may state a newer revision than its items have.
         newest = max((item.revision for item in items), default=1)
         return Success(StoreResponse(items, min(position, newest), era))
     is_restored = any(
-        later.era != era or later.at < earlier.at
+        later.era != era or later.store_revision < earlier.store_revision
         for earlier, later in itertools.pairwise(pages)
     )
     if is_restored:
@@ -185,24 +194,24 @@
     return Success(StoreResponse(items, position, era))
 
 
-def _read_era(response: http.client.HTTPResponse) -> int | None:
-    """Return the era that an answer names; None for none or a bad one."""
-    found = (response.getheader(name) for name in _ERA_HEADERS)
-    text = next((value for value in found if value is not None), "")
+def _decode_era(response: http.client.HTTPResponse) -> int | None:
+    """Return the era in the response headers; None if absent or invalid."""
+    candidates = (response.getheader(name) for name in _ERA_HEADERS)
+    text = next((value for value in candidates if value is not None), "")
     return int(text) if text.isascii() and text.isdigit() else None
 
 
-def _read_items(values: Any) -> tuple[PublishedItem, ...] | None:
-    """Return the items of an answer; None when it isn't a list of items."""
+def _decode_items(values: Any) -> tuple[PublishedItem, ...] | None:
+    """Return the items of a response; None if it has no valid list."""
     if not isinstance(values, list):
         return None
     try:
-        return tuple(_read_item(value) for value in values)
+        return tuple(_decode_item(value) for value in values)
     except (ValueError, TypeError, KeyError):
         return None
 
 
-def _read_item(value: Mapping[str, Any]) -> PublishedItem:
+def _decode_item(value: Mapping[str, Any]) -> PublishedItem:
     key, revision = str(value["key"]), int(value["revision"])
     if value.get("tombstoned"):
         return PublishedItem(key, revision, None)
--- a/mintsaddle/platform/tests/test_client.py
+++ b/mintsaddle/platform/tests/test_client.py
@@ -8,7 +8,7 @@
 
 from mintsaddle.engines.tests.test_calls import engine
 from mintsaddle.platform import PlatformValue, _client, watch_value
-from mintsaddle.platform._client import LARGEST_ANSWER
+from mintsaddle.platform._client import MAX_RESPONSE_BYTES
 
 
 def answer(body: bytes, status: str = "200 OK") -> bytes:
@@ -44,7 +44,7 @@
             (answer(b'{"value": "x"}'), "unreadable"),
             (value("new"), "unreadable"),
             (answer(b"", "500 Broken"), "status 500"),
-            (answer(b" " * (LARGEST_ANSWER + 1)), "is over"),
+            (answer(b" " * (MAX_RESPONSE_BYTES + 1)), "is over"),
             (b"", "can't read"),
             (b"\x00\xff\r\n\r\n", "can't read"),
         ],
@@ -57,7 +57,7 @@
 
     def test_platform_that_is_slow(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """A daemon would wait for a platform that never answers."""
-        monkeypatch.setattr(_client, "_SLACK", 0.2)
+        monkeypatch.setattr(_client, "_TIMEOUT_SLACK_SECONDS", 0.2)
         with engine(b"", stays=True) as address:
             result = watch_value(address, "fleet", 0, 0.0)
         assert isinstance(result, Failure)
--- a/mintsaddle/platform/tests/test_translation.py
+++ b/mintsaddle/platform/tests/test_translation.py
@@ -22,7 +22,7 @@
     decode_items,
     make_endpoint_headers,
     make_refusal,
-    read_caller_head,
+    read_request_head,
 )
 from mintsaddle.platform._configuration import decode_table
 from mintsaddle.platform._ranks import _decode_report
@@ -148,7 +148,7 @@
         }
 
     def test_a_head_without_anything_is_read(self) -> None:
-        head = read_caller_head({})
+        head = read_request_head({})
         assert (head.request_id, head.key) == ("", "")
         assert (head.seconds_left, head.last_event) == (None, None)
 
--- a/mintsaddle/rank_agent/__init__.py
+++ b/mintsaddle/rank_agent/__init__.py
@@ -19,12 +19,12 @@
 )
 
 __all__ = [
+    "NO_ANSWER",
     "AgentMessageError",
     "AgentReply",
     "AgentRequest",
     "RankAnswer",
     "RankCall",
-    "NO_ANSWER",
     "decode_reply",
     "decode_request",
     "encode_reply",
