--- a/mintsaddle/direct/_reach.py
+++ b/mintsaddle/direct/_reach.py
@@ -42,7 +42,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether no other data centre can be reached from this one."""
+        """Whether the platform and all other data centres are unreachable."""
         with self._lock:
             # Fast path: this runs for every response, and data centres are
             # rarely unreachable.
@@ -101,11 +101,11 @@
         """Record whether test connections to a data centre succeeded."""
         with self._lock:
             self._tracker.record_platform(reached=is_platform_reached)
-            known = self._data_centres()
+            known_data_centres = self._data_centres()
             has_changed = self._tracker.record_check(
-                data_centre, known, reached=reached
+                data_centre, known_data_centres, reached=reached
             )
-            if not self._tracker.is_isolated(known):
+            if not self._tracker.is_isolated(known_data_centres):
                 self._isolated_since = None
             elif self._isolated_since is None:
                 self._isolated_since = self._now()
--- a/mintsaddle/direct/_run.py
+++ b/mintsaddle/direct/_run.py
@@ -94,7 +94,7 @@
 
 
 def _catch_signals() -> _Signals:
-    """Install signal handlers; without one, SIGHUP would end the process."""
+    """Install handlers at startup; without one, SIGHUP ends the process."""
     signals = _Signals(threading.Event(), threading.Event())
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: signals.stop.set())
