--- a/mintsaddle/endpoint/__init__.py
+++ b/mintsaddle/endpoint/__init__.py
@@ -1,4 +1,4 @@
-"""The endpoint daemon: the only way into the engine on its VM."""
+"""The endpoint daemon, through which all requests reach its VM's engine."""
 
 from mintsaddle.endpoint._run import run_endpoint
 
--- a/mintsaddle/endpoint/_group_messages.py
+++ b/mintsaddle/endpoint/_group_messages.py
@@ -1,4 +1,4 @@
-"""Between a group's typed orders and readings and their messages."""
+"""Converts group orders and readings from and to protobuf messages."""
 
 from collections.abc import Sequence
 
@@ -12,7 +12,7 @@
 
 
 def read_order(message: pb.GroupOrder) -> GroupOrder:
-    """Return the order in a message."""
+    """Return the order that a message contains."""
     return GroupOrder(
         message.ballot,
         message.sequence,
@@ -25,12 +25,12 @@
 
 
 def write_order(
-    group: str, order: GroupOrder, wanted: ExpertMap | None
+    group: str, order: GroupOrder, new_map: ExpertMap | None
 ) -> pb.GroupOrder:
-    """Return the message form of an order, with the slots to stage."""
+    """Return the message for an order, with the slots to stage if any."""
     slots: Sequence[int] = ()
-    if order.act is GroupAct.STAGE and wanted is not None:
-        slots = wanted.experts_of_rank(order.rank)
+    if order.act is GroupAct.STAGE and new_map is not None:
+        slots = new_map.experts_of_rank(order.rank)
     return pb.GroupOrder(
         group=group,
         ballot=order.ballot,
@@ -45,7 +45,7 @@
 
 
 def read_reading(reply: pb.GroupReply) -> RankReading:
-    """Return where a rank stands."""
+    """Return the rank state that a reply contains."""
     return RankReading(
         reply.active,
         reply.staged,
--- a/mintsaddle/endpoint/_groups.py
+++ b/mintsaddle/endpoint/_groups.py
@@ -1,4 +1,4 @@
-"""The groups in which this daemon is a rank."""
+"""Manages the rank groups that this daemon belongs to."""
 
 from mintsaddle.daemon import DaemonNode
 from mintsaddle.endpoint._coordinator import Coordinator
@@ -9,20 +9,20 @@
 
 
 class GroupRunner:
-    """The groups in which this daemon is a rank."""
+    """Runs a rank host and a coordinator for each group of this daemon."""
 
     def __init__(self, node: DaemonNode) -> None:
         self._node = node
         self._hosts: dict[str, RankHost] = {}
 
-    def follow(self) -> None:
-        """Follow a changed text: join the groups that list this daemon."""
+    def apply_configuration(self) -> None:
+        """Join new groups that list this daemon and leave former ones."""
         fleet = self._node.configuration.fleet
         groups = fleet.groups if fleet else {}
         for name, host in tuple(self._hosts.items()):
             group = groups.get(name)
             if group is not None and group.ranks == host.group.ranks:
-                host.follow(group)
+                host.update_group(group)
             else:
                 host.retire()
                 del self._hosts[name]
@@ -35,14 +35,14 @@
         self._hosts[group.name] = host
         self._node.spawn(Coordinator(self._node, host).run())
 
-    async def obey(self, message: pb.GroupOrder) -> pb.GroupReply:
-        """Pass an order to the group that it is for."""
+    async def handle_order(self, message: pb.GroupOrder) -> pb.GroupReply:
+        """Forward an order to the rank host of its group."""
         host = self._hosts.get(message.group)
         if host is None:
             return pb.GroupReply(stamp=write_stamp(self._node.stamp()))
-        return await host.obey(message)
+        return await host.handle_order(message)
 
     def describe(self, status: pb.Status) -> None:
-        """Add the groups to a status."""
+        """Add the groups to a status message."""
         for host in self._hosts.values():
             host.describe(status)
--- a/mintsaddle/endpoint/_homes.py
+++ b/mintsaddle/endpoint/_homes.py
@@ -1,4 +1,4 @@
-"""Asking the other homes until this one is settled."""
+"""Exchanges order state with the other homes of a service."""
 
 import asyncio
 
@@ -25,26 +25,29 @@
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.transport.proto.peer_grpc import PeerStub
 
-_PAUSE = 0.3
-_TIMEOUT = 1.0
+# In seconds.
+_POLL_INTERVAL = 0.3
+_RPC_TIMEOUT = 1.0
 _log = make_logger("orders")
 
 
-async def keep_settled(node: DaemonNode, orders: OrdersState) -> None:
-    """Ask the other homes whenever one of this home's lists isn't settled."""
+async def run_settle_loop(node: DaemonNode, orders: OrdersState) -> None:
+    """Query the other homes while any home list here isn't settled."""
     while True:
         for service in tuple(orders.homes):
-            _settle_alone(node, orders, service)
+            _settle_if_only_home(node, orders, service)
             questions = ask_homes(orders, service, node.now(), node.rng)
-            asked = (_ask(node, orders, vm, question) for vm, question in questions)
-            await asyncio.gather(*asked)
-        await asyncio.sleep(_PAUSE)
+            exchanges = (
+                _ask_home(node, orders, vm, question) for vm, question in questions
+            )
+            await asyncio.gather(*exchanges)
+        await asyncio.sleep(_POLL_INTERVAL)
 
 
 def answer_home(
     node: DaemonNode, orders: OrdersState, message: pb.HomeQuestion
 ) -> pb.HomeAnswer:
-    """Answer another home, and pull its text if it knows a newer one."""
+    """Answer another home; fetch its configuration if that is newer."""
     asker = read_stamp(message.stamp)
     fleet = node.configuration.fleet
     address = fleet.address_of(asker.vm) if fleet else None
@@ -54,37 +57,37 @@
     return write_home_answer(answer, node.stamp())
 
 
-async def leave_ledger(node: DaemonNode, orders: OrdersState) -> None:
-    """Give the ledger to the other homes, for the next run of this one."""
-    gifts = [
-        _give(node, vm, bequest)
+async def hand_off_ledger(node: DaemonNode, orders: OrdersState) -> None:
+    """Send the ledger to the other homes, to be kept for the next run."""
+    transfers = [
+        _send_bequest(node, vm, bequest)
         for bequest in bequeath(orders)
         for vm in orders.homes[bequest.service].wanted.to_ask - {orders.vm}
     ]
-    await asyncio.gather(*gifts)
+    await asyncio.gather(*transfers)
 
 
-async def _give(node: DaemonNode, vm: str, bequest: Bequest) -> None:
+async def _send_bequest(node: DaemonNode, vm: str, bequest: Bequest) -> None:
     fleet = node.configuration.fleet
     address = fleet.address_of(vm) if fleet else None
     if address is None:
         return
     message = write_bequest(bequest, node.stamp())
     try:
-        await PeerStub(node.channels.open(address)).Keep(message, timeout=_TIMEOUT)
+        await PeerStub(node.channels.open(address)).Keep(message, timeout=_RPC_TIMEOUT)
     except Exception as error:
-        # The next run then finds its old keys in doubt, which is safe.
+        # The next run then treats its old keys as in doubt, which is safe.
         name = type(error).__name__
-        _log.warning("Home %s keeps no ledger for this one: %s.", vm, name)
+        _log.warning("Could not send the ledger to home %s: %s.", vm, name)
 
 
-def _settle_alone(node: DaemonNode, orders: OrdersState, service: str) -> None:
+def _settle_if_only_home(node: DaemonNode, orders: OrdersState, service: str) -> None:
     fleet = node.configuration.fleet
     if fleet is not None:
         settle_alone(orders, service, fleet.clock_bound, node.now())
 
 
-async def _ask(
+async def _ask_home(
     node: DaemonNode, orders: OrdersState, vm: str, question: HomeQuestion
 ) -> None:
     fleet = node.configuration.fleet
@@ -94,9 +97,9 @@
     request = write_home_question(question, node.stamp())
     stub = PeerStub(node.channels.open(address))
     try:
-        reply = await stub.AskHome(request, timeout=_TIMEOUT)
+        reply = await stub.AskHome(request, timeout=_RPC_TIMEOUT)
     except Exception as error:
-        _log.debug("No answer from home %s: %s.", vm, type(error).__name__)
+        _log.debug("Home %s did not answer: %s.", vm, type(error).__name__)
         node.channels.drop(address)
         return
     node.count_control(request, reply)
--- a/mintsaddle/endpoint/_host.py
+++ b/mintsaddle/endpoint/_host.py
@@ -1,4 +1,4 @@
-"""Carrying out what the arrival decisions ask for."""
+"""Executes the actions that the arrival decisions return."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -20,23 +20,26 @@
 )
 from mintsaddle.decisions.orders import LedgerEntry, OrderStatus
 from mintsaddle.endpoint._mailbox import Mailbox
-from mintsaddle.endpoint._words import (
+from mintsaddle.endpoint._reply_events import (
     Accepted,
     Chunk,
     End,
     Head,
     Refused,
-    Word,
+    ReplyEvent,
 )
-from mintsaddle.endpoint._workers import CallPlan, run_call, run_order
+from mintsaddle.endpoint._workers import CallParameters, run_call, run_order
 from mintsaddle.engines import EngineCall, EngineHead, EngineRequest
 from mintsaddle.fleet import ServiceKind
 from mintsaddle.observe import make_logger
 from mintsaddle.transport.proto import peer_pb2 as pb
 from mintsaddle.values import Claim, Load, Reason, Refusal
 
-MOST_ENGINE_CALLS = 512
-"""Worker threads at most; the fleet text's limit is reached long before."""
+MAX_ENGINE_THREADS = 512
+"""Maximum number of worker threads.
+
+The request limits in the fleet configuration are far lower.
+"""
 
 _log = make_logger("endpoint")
 
@@ -44,65 +47,66 @@
 class EndpointHost:
     """The engine calls and mailboxes of one endpoint daemon.
 
-    Everything runs in the daemon's loop but `run_call`, which runs in a
-    worker thread and posts back what it sees.
+    Everything runs in the daemon's event loop except `run_call` and
+    `run_order`, which run in worker threads and post their results to the
+    loop.
     """
 
     def __init__(self, node: DaemonNode, state: EndpointState) -> None:
         self._node = node
         self._state = state
-        self._workers = ThreadPoolExecutor(MOST_ENGINE_CALLS, "engine")
+        self._workers = ThreadPoolExecutor(MAX_ENGINE_THREADS, "engine")
         self._mailboxes: dict[str, Mailbox] = {}
         self._calls: dict[str, EngineCall] = {}
-        self._orphans: dict[str, pb.CallRequest] = {}
+        self._detached_messages: dict[str, pb.CallRequest] = {}
         self._admitted = 0
         self._last_admission = 0.0
 
     @property
     def node(self) -> DaemonNode:
-        """The daemon."""
+        """The node of this daemon."""
         return self._node
 
     @property
     def state(self) -> EndpointState:
-        """What the decisions work on."""
+        """State that the decisions read and update."""
         return self._state
 
     @property
     def admitted(self) -> int:
-        """Requests given to the engine since the start."""
+        """Number of requests sent to the engine since the daemon started."""
         return self._admitted
 
     @property
     def last_admission(self) -> float:
-        """When the last one was given to it."""
+        """When the last request was sent to the engine; 0 if none was."""
         return self._last_admission
 
     def has_open_mailboxes(self) -> bool:
-        """Return whether an entry still waits for its last word."""
+        """Return whether an entry still waits for its final event."""
         return bool(self._mailboxes)
 
     def load(self) -> Load:
-        """Return the exact load."""
+        """Return the current load."""
         return describe_endpoint_load(self._state, self._node.now())
 
     def open(self, arrival: Arrival, message: pb.CallRequest) -> Mailbox:
-        """Take in an arrival; its words come into the mailbox."""
+        """Handle an arrival and return the mailbox for its reply events."""
         mailbox = Mailbox(message)
         self._mailboxes[arrival.request_id] = mailbox
         self.perform(handle_arrival(self._state, arrival, self._node.now()))
         return mailbox
 
     def close(self, request_id: str) -> None:
-        """Note that the entry has its final word, or has gone."""
+        """Handle an entry that received its final event or disconnected."""
         mailbox = self._mailboxes.pop(request_id, None)
         if mailbox is None:
             return
         arrival = self._state.arrivals.get(request_id)
         if arrival is not None and arrival.key is not None:
-            # An order outlives its entry; when its turn comes, the message
-            # is still needed.
-            self._orphans[request_id] = mailbox.message
+            # An order runs even if its entry has disconnected, so its message
+            # is kept until the order leaves the queue.
+            self._detached_messages[request_id] = mailbox.message
             return
         call = self._calls.pop(request_id, None)
         if call is not None:
@@ -110,50 +114,52 @@
         self.perform(cancel(self._state, request_id, self._node.now()))
 
     def perform(self, actions: tuple[ArrivalAction, ...]) -> None:
-        """Carry out actions."""
+        """Execute actions in order."""
         for action in actions:
             match action:
                 case AcceptArrival(request_id):
-                    self._put(request_id, Accepted())
+                    self._put_event(request_id, Accepted())
                 case RefuseArrival(request_id, refusal):
-                    self._orphans.pop(request_id, None)
-                    self._put(request_id, Refused(refusal))
+                    self._detached_messages.pop(request_id, None)
+                    self._put_event(request_id, Refused(refusal))
                 case AnswerArrival(request_id, entry):
-                    self._answer(request_id, entry)
+                    self._answer_from_ledger(request_id, entry)
                 case StartEngine(request_id):
-                    self._start(request_id)
+                    self._start_engine_call(request_id)
 
-    def _put(self, request_id: str, word: Word) -> None:
+    def _put_event(self, request_id: str, event: ReplyEvent) -> None:
         mailbox = self._mailboxes.get(request_id)
         if mailbox is not None:
-            mailbox.put(word)
+            mailbox.put(event)
 
-    def _answer(self, request_id: str, entry: LedgerEntry) -> None:
+    def _answer_from_ledger(self, request_id: str, entry: LedgerEntry) -> None:
         if entry.status is OrderStatus.DONE:
-            self._put(request_id, Head(entry.http_status, entry.content_type))
+            self._put_event(request_id, Head(entry.http_status, entry.content_type))
             if entry.body:
-                self._put(request_id, Chunk(1, entry.body))
-            self._put(request_id, End(1 if entry.body else 0))
+                self._put_event(request_id, Chunk(1, entry.body))
+            self._put_event(request_id, End(1 if entry.body else 0))
             return
-        never = entry.status is OrderStatus.TOMBSTONE
-        claim = Claim.NEVER if never else Claim.MAYBE
-        reason = Reason.TOMBSTONE if never else Reason.ENGINE_FAILED
-        self._put(request_id, Refused(Refusal(claim, reason, self._node.now())))
+        never_ran = entry.status is OrderStatus.TOMBSTONE
+        claim = Claim.NEVER if never_ran else Claim.MAYBE
+        reason = Reason.TOMBSTONE if never_ran else Reason.ENGINE_FAILED
+        self._put_event(request_id, Refused(Refusal(claim, reason, self._node.now())))
 
-    def _start(self, request_id: str) -> None:
+    def _start_engine_call(self, request_id: str) -> None:
         arrival = self._state.arrivals[request_id]
         mailbox = self._mailboxes.get(request_id)
-        message = mailbox.message if mailbox else self._orphans.pop(request_id)
+        message = (
+            mailbox.message if mailbox else self._detached_messages.pop(request_id)
+        )
         now = self._node.now()
         self._admitted += 1
         self._last_admission = now
         request = self._make_request(arrival, message)
         call = EngineCall(self._node.settings.engine, request)
         self._calls[request_id] = call
-        run = run_order if arrival.key else run_call
-        # An order may have lost its entry; then nobody reads the mailbox.
-        plan = self._make_plan(arrival, mailbox or Mailbox(message))
-        self._workers.submit(run, self, call, plan)
+        worker = run_order if arrival.key else run_call
+        # If the entry of an order has disconnected, nobody reads the mailbox.
+        parameters = self._make_call_parameters(arrival, mailbox or Mailbox(message))
+        self._workers.submit(worker, self, call, parameters)
 
     def _make_request(self, arrival: Arrival, message: pb.CallRequest) -> EngineRequest:
         headers = {
@@ -167,30 +173,34 @@
         if arrival.key is not None:
             stamp = self._node.stamp()
             headers["Fencing"] = f"{stamp.text_revision}.{stamp.boot}"
-        silence = max(0.1, arrival.deadline - self._node.now())
+        silence_timeout = max(0.1, arrival.deadline - self._node.now())
         return EngineRequest(
-            message.method, message.path, headers, message.body, silence
+            message.method, message.path, headers, message.body, silence_timeout
         )
 
-    def see_head(self, head: EngineHead) -> None:
-        """Note an engine's answer head: it shows the engine's run."""
+    def handle_response_head(self, head: EngineHead) -> None:
+        """Record the engine's boot number if a response head has one."""
         now = self._node.now()
         if head.boot is not None:
             limit = self._state.admission.reported_limit
             self.perform(handle_engine_up(self._state, head.boot, limit, now))
 
-    def see_end(self, request_id: str, result: EngineResult, word: Word | None) -> None:
-        """Note how an engine call ended."""
+    def handle_call_end(
+        self, request_id: str, result: EngineResult, event: ReplyEvent | None
+    ) -> None:
+        """Record the result of an engine call."""
         self._calls.pop(request_id, None)
-        self._orphans.pop(request_id, None)
-        if word is not None:
-            self._put(request_id, word)
+        self._detached_messages.pop(request_id, None)
+        if event is not None:
+            self._put_event(request_id, event)
         now = self._node.now()
         self.perform(close_engine_call(self._state, request_id, result, now))
 
-    def _make_plan(self, arrival: Arrival, mailbox: Mailbox) -> CallPlan:
+    def _make_call_parameters(
+        self, arrival: Arrival, mailbox: Mailbox
+    ) -> CallParameters:
         fleet = self._state.configuration.fleet
         service = fleet.services.get(arrival.service) if fleet else None
         is_engine = service is not None and service.kind is ServiceKind.ENGINE
         target = service.target if service else 0.0
-        return CallPlan(arrival.request_id, mailbox, target, is_engine)
+        return CallParameters(arrival.request_id, mailbox, target, is_engine)
--- a/mintsaddle/endpoint/_mailbox.py
+++ b/mintsaddle/endpoint/_mailbox.py
@@ -1,53 +1,54 @@
-"""Words on their way from an endpoint daemon to an entry."""
+"""Queue of reply events that wait to be sent to an entry."""
 
 import asyncio
 from collections import deque
 from collections.abc import Callable
 
-from mintsaddle.endpoint._words import Word
+from mintsaddle.endpoint._reply_events import ReplyEvent
 from mintsaddle.transport.proto import peer_pb2 as pb
 
 
 class Mailbox:
-    """Words that wait to be sent to the entry of one attempt."""
+    """Reply events of one attempt that wait to be sent to its entry."""
 
     def __init__(self, message: pb.CallRequest) -> None:
         self._message = message
-        self._words: deque[Word] = deque()
+        self._events: deque[ReplyEvent] = deque()
         self._ready = asyncio.Event()
-        self._woken = False
+        self._wake_scheduled = False
 
     @property
     def message(self) -> pb.CallRequest:
-        """The request as it came."""
+        """The request message as received."""
         return self._message
 
-    def put(self, word: Word) -> None:
-        """Add a word; it is sent soon. For the loop."""
-        self._words.append(word)
+    def put(self, event: ReplyEvent) -> None:
+        """Add an event from the event loop."""
+        self._events.append(event)
         self._ready.set()
 
-    def put_from_thread(self, word: Word, post: Callable[..., object]) -> None:
-        """Add a word from a worker thread.
+    def put_from_thread(self, event: ReplyEvent, post: Callable[..., object]) -> None:
+        """Add an event from a worker thread.
 
-        The loop is woken once for all words that wait: waking it costs more
-        than the word.
+        The loop is woken only once for all waiting events, because waking it
+        costs more than adding an event.
         """
-        self._words.append(word)
-        if not self._woken:
-            self._woken = True
+        self._events.append(event)
+        if not self._wake_scheduled:
+            self._wake_scheduled = True
             post(self._wake)
 
     def _wake(self) -> None:
-        self._woken = False
+        self._wake_scheduled = False
         self._ready.set()
 
-    async def take(self) -> list[Word]:
-        """Wait for words and take all that are there."""
+    async def take_all(self) -> list[ReplyEvent]:
+        """Wait until there are events, then remove and return them all."""
         await self._ready.wait()
         self._ready.clear()
-        words = []
-        # A worker thread may add one meanwhile, so nothing is cleared unseen.
-        while self._words:
-            words.append(self._words.popleft())
-        return words
+        events = []
+        # A worker thread may append meanwhile; clearing the deque could drop
+        # an event that was not returned.
+        while self._events:
+            events.append(self._events.popleft())
+        return events
--- a/mintsaddle/endpoint/_ranks.py
+++ b/mintsaddle/endpoint/_ranks.py
@@ -1,4 +1,4 @@
-"""This daemon as one rank of a group: it obeys one order after the other."""
+"""Executes the orders that a group's coordinator sends to this rank."""
 
 import asyncio
 import functools
@@ -25,38 +25,42 @@
 
 
 class RankHost:
-    """This daemon as one rank of one group: the only sender to its engine."""
+    """This daemon's rank in one group.
+
+    It is the only sender of group orders to the engine and executes them one
+    at a time.
+    """
 
     def __init__(self, node: DaemonNode, group: Group) -> None:
         self._node = node
         self._group = group
         self._rank = group.ranks.index(node.settings.vm)
         self._state = RankState(node.boot, node.boot_at)
-        self._turn = asyncio.Lock()
+        self._order_lock = asyncio.Lock()
         self._reading: RankReading | None = None
-        self._ordered_at = node.now()
+        self._last_order_at = node.now()
         self._retired = False
         self._skew = 0.0
-        self._note = ""
+        self._plan_note = ""
 
     @property
     def group(self) -> Group:
-        """The group as the text has it."""
+        """The group as configured."""
         return self._group
 
     @property
     def rank(self) -> int:
-        """This rank."""
+        """Index of this rank in the group."""
         return self._rank
 
     @property
-    def ordered_at(self) -> float:
-        """When the last order came."""
-        return self._ordered_at
+    def last_order_at(self) -> float:
+        """When the last order was received; initially the creation time."""
+        return self._last_order_at
 
     @property
     def is_held(self) -> bool:
-        """Whether the engine was held when last read."""
+        """Whether the engine was held at the last reading."""
         return self._reading is not None and self._reading.held
 
     @property
@@ -66,47 +70,47 @@
 
     @property
     def retired(self) -> bool:
-        """Whether the text no longer has this rank in this group."""
+        """Whether the configuration no longer has this rank in this group."""
         return self._retired
 
     def retire(self) -> None:
-        """Note that the text no longer has this rank in this group."""
+        """Mark this rank as removed from the group."""
         self._retired = True
 
-    def follow(self, group: Group) -> None:
-        """Follow a changed text."""
+    def update_group(self, group: Group) -> None:
+        """Replace the group after a configuration change."""
         self._group = group
 
-    def note(self, skew: float, text: str) -> None:
-        """Remember what the last plan found, for the status."""
+    def record_plan(self, skew: float, note: str) -> None:
+        """Record the result of the last plan for the status."""
         self._skew = skew
-        self._note = text
+        self._plan_note = note
 
     def describe(self, status: pb.Status) -> None:
-        """Add this rank to a status."""
+        """Add this rank to a status message."""
         standing = status.groups.add(
             group=self._group.name,
             rank=self._rank,
             ballot=self._state.ballot,
             skew=self._skew,
-            note=self._note,
+            note=self._plan_note,
         )
         if self._reading is not None:
             standing.active_version = self._reading.active
             standing.held = self._reading.held
 
-    async def obey(self, message: pb.GroupOrder) -> pb.GroupReply:
-        """Carry out one order, after the one before it has ended."""
-        async with self._turn:
-            self._ordered_at = self._node.now()
+    async def handle_order(self, message: pb.GroupOrder) -> pb.GroupReply:
+        """Execute one order after the previous one has finished."""
+        async with self._order_lock:
+            self._last_order_at = self._node.now()
             order = read_order(message)
-            verdict = check_order(self._state, order, self._node.now())
-            obeyed = verdict is not OrderDecision.REFUSE
+            decision = check_order(self._state, order, self._node.now())
+            obeyed = decision is not OrderDecision.REFUSE
             answer: dict[str, Any] | None = None
-            if verdict is OrderDecision.OBEY:
-                answer = await self._send(order.act.value, _engine_order(message))
+            if decision is OrderDecision.OBEY:
+                answer = await self._send(order.act.value, _make_engine_order(message))
                 obeyed = answer is not None and bool(answer.get("obeyed"))
-            elif verdict is OrderDecision.READ:
+            elif decision is OrderDecision.READ:
                 answer = await self._send(GroupAct.READ.value, {"ballot": order.ballot})
             reply = self._make_reply(answer, obeyed=obeyed)
             if answer is not None and message.wants_popularity:
@@ -125,7 +129,7 @@
             self._node.helpers, send
         )
         if not isinstance(result, Success):
-            _log.warning("The engine did not answer '%s': %s.", act, result.failure())
+            _log.warning("Engine call '%s' failed: %s.", act, result.failure())
         return result.value_or(None)
 
     def _make_reply(
@@ -149,7 +153,7 @@
         return reply
 
 
-def _engine_order(message: pb.GroupOrder) -> dict[str, Any]:
+def _make_engine_order(message: pb.GroupOrder) -> dict[str, Any]:
     return {
         "ballot": message.ballot,
         "version": message.version,
--- a/mintsaddle/endpoint/_run.py
+++ b/mintsaddle/endpoint/_run.py
@@ -1,4 +1,4 @@
-"""Running an endpoint daemon from its start to its end."""
+"""Runs an endpoint daemon from startup to shutdown."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 )
 from mintsaddle.decisions.orders import home_is_settled, keep_bequest
 from mintsaddle.endpoint._groups import GroupRunner
-from mintsaddle.endpoint._homes import answer_home, keep_settled, leave_ledger
+from mintsaddle.endpoint._homes import answer_home, hand_off_ledger, run_settle_loop
 from mintsaddle.endpoint._host import EndpointHost
 from mintsaddle.endpoint._service import CallService
 from mintsaddle.engines import probe_engine
@@ -32,19 +32,29 @@
 from mintsaddle.transport import LoopThread, read_bequest, write_load
 from mintsaddle.transport.proto import peer_pb2 as pb
 
-PROBE_PAUSE = 0.2
-"""Seconds between looks at a working engine; shorter than a sight's life."""
+PROBE_INTERVAL = 0.2
+"""Seconds between probes of a busy engine.
 
-IDLE_PROBE_PAUSE = 1.0
-"""Seconds between looks at an idle one, which counts as cold meanwhile."""
+Shorter than the time for which a sighting of the engine stays valid.
+"""
 
-_TICK = 0.1
-_IDLE_PAUSE = 0.05
+IDLE_PROBE_INTERVAL = 1.0
+"""Seconds between probes of an idle engine.
+
+Sightings expire in between, so an idle engine is treated as cold.
+"""
+
+# In seconds.
+_TICK_INTERVAL = 0.1
+_DRAIN_POLL_INTERVAL = 0.05
 _log = make_logger("endpoint")
 
 
 def run_endpoint(settings: Settings) -> int:
-    """Run an endpoint daemon until it is told to stop, and let work finish."""
+    """Run an endpoint daemon until it is told to stop.
+
+    Requests in flight are finished before it returns.
+    """
     loop_thread = LoopThread("mintsaddle")
     node = DaemonNode(settings, loop_thread)
     state = EndpointState(settings.vm, node.boot, node.boot_at, node.configuration)
@@ -52,9 +62,9 @@
     loop_thread.start()
     loop_thread.submit(_start(host)).result()
     wait_for_stop()
-    loop_thread.submit(_leave(host)).result()
+    loop_thread.submit(_shut_down(host)).result()
     loop_thread.stop()
-    _log.info("Stopped with nothing cut off.")
+    _log.info("Stopped; no request was interrupted.")
     return 0
 
 
@@ -63,61 +73,64 @@
     state = host.state
     groups = GroupRunner(node)
     node.on_change(lambda: host.perform(apply_configuration(state, node.now())))
-    node.on_change(groups.follow)
+    node.on_change(groups.apply_configuration)
     peers = PeerService(
         node,
         describe=lambda status: describe_endpoint(host, groups, status),
         answer_home=lambda question: answer_home(node, state.orders, question),
-        keep_bequest=lambda gift: keep_bequest(state.orders, read_bequest(gift)),
-        obey_group=groups.obey,
+        keep_bequest=lambda message: keep_bequest(state.orders, read_bequest(message)),
+        obey_group=groups.handle_order,
     )
     await start_server(node, [peers, CallService(host)])
-    node.spawn(_keep_probing(host))
-    node.spawn(_keep_ticking(host))
-    node.spawn(keep_settled(node, state.orders))
+    node.spawn(_run_probe_loop(host))
+    node.spawn(_run_tick_loop(host))
+    node.spawn(run_settle_loop(node, state.orders))
 
 
-async def _leave(host: EndpointHost) -> None:
-    """Refuse new work at once and finish what is in flight."""
+async def _shut_down(host: EndpointHost) -> None:
+    """Refuse new requests at once and finish those in flight."""
     host.node.mark_leaving()
     host.perform(start_leaving(host.state, host.node.now()))
     await refresh(host.node)
     while not may_exit(host.state, host.node.now()):
-        await asyncio.sleep(_IDLE_PAUSE)
-    await leave_ledger(host.node, host.state.orders)
+        await asyncio.sleep(_DRAIN_POLL_INTERVAL)
+    await hand_off_ledger(host.node, host.state.orders)
     while host.has_open_mailboxes():
-        await asyncio.sleep(_IDLE_PAUSE)
+        await asyncio.sleep(_DRAIN_POLL_INTERVAL)
 
 
-async def _keep_probing(host: EndpointHost) -> None:
-    """Look at the engine again and again; the sights carry the warm limit."""
+async def _run_probe_loop(host: EndpointHost) -> None:
+    """Probe the engine periodically; its status carries the warm limit."""
     node = host.node
     loop = node.loop_thread.loop
     while True:
         engine = node.settings.engine
-        asked_at = node.now()
+        probe_started_at = node.now()
         match await loop.run_in_executor(node.helpers, probe_engine, engine):
-            case Success(sight):
+            case Success(engine_status):
                 actions = handle_engine_up(
-                    host.state, sight.boot, sight.limit, asked_at
+                    host.state,
+                    engine_status.boot,
+                    engine_status.limit,
+                    probe_started_at,
                 )
                 host.perform(actions)
             case Failure(True):
                 host.perform(handle_engine_down(host.state, node.now()))
         idle = not host.state.arrivals
-        await asyncio.sleep(IDLE_PROBE_PAUSE if idle else PROBE_PAUSE)
+        await asyncio.sleep(IDLE_PROBE_INTERVAL if idle else PROBE_INTERVAL)
 
 
-async def _keep_ticking(host: EndpointHost) -> None:
+async def _run_tick_loop(host: EndpointHost) -> None:
     while True:
         host.perform(tick(host.state, host.node.now()))
-        await asyncio.sleep(_TICK)
+        await asyncio.sleep(_TICK_INTERVAL)
 
 
 def describe_endpoint(
     host: EndpointHost, groups: GroupRunner, status: pb.Status
 ) -> None:
-    """Add an endpoint's part to a status."""
+    """Fill in the endpoint fields of a status message."""
     groups.describe(status)
     state = host.state
     load = describe_endpoint_load(state, host.node.now())
@@ -134,11 +147,11 @@
                 anchored=home.anchored,
                 settled=home_is_settled(home),
                 homes=home.wanted.homes,
-                advice=_advise(home.anchored, home_is_settled(home)),
+                advice=_make_advice(home.anchored, home_is_settled(home)),
             )
 
 
-def _advise(anchored: bool, settled: bool) -> str:
+def _make_advice(anchored: bool, settled: bool) -> str:
     if settled:
         return ""
     if not anchored:
--- a/mintsaddle/endpoint/_service.py
+++ b/mintsaddle/endpoint/_service.py
@@ -1,4 +1,4 @@
-"""The gRPC service by which entries hand requests to an endpoint daemon."""
+"""gRPC service that receives requests from entries."""
 
 import itertools
 from collections.abc import Iterator
@@ -9,14 +9,14 @@
 from mintsaddle.decisions.arrivals import Arrival
 from mintsaddle.endpoint._host import EndpointHost
 from mintsaddle.endpoint._mailbox import Mailbox
-from mintsaddle.endpoint._words import (
+from mintsaddle.endpoint._reply_events import (
     Accepted,
     Broken,
     Chunk,
     End,
     Head,
     Refused,
-    Word,
+    ReplyEvent,
     is_final,
 )
 from mintsaddle.transport import read_stamp, write_load, write_refusal, write_stamp
@@ -24,33 +24,37 @@
 from mintsaddle.transport.proto.peer_grpc import EndpointCallsBase
 from mintsaddle.values import Claim, OrderKey, Reason, Refusal, parse_key
 
-_BACK_SOON = 0.5
+_RETRY_DELAY = 0.5
+"""Seconds after which a refused request may be retried."""
+
 _CallStream = Stream[pb.CallRequest, pb.CallReply]
 
 
-class _Chunks(NamedTuple):
-    """Chunks that waited together; they travel as one message."""
+class _ChunkBatch(NamedTuple):
+    """Consecutive chunks that are sent in one message."""
 
     first: int
-    """Sequence of the first one."""
+    """Sequence number of the first chunk."""
 
     data: tuple[bytes, ...]
 
 
 class CallService(EndpointCallsBase):
-    """Takes requests from entries."""
+    """Runs the requests that entries send."""
 
     def __init__(self, host: EndpointHost) -> None:
         self._host = host
 
     async def Call(self, stream: _CallStream) -> None:  # noqa: N802
-        """Run one attempt and send its words."""
+        """Run one attempt and stream its reply events."""
         message = await stream.recv_message()
         if message is None:
             return
         node = self._host.node
-        known = await node.catch_up(read_stamp(message.stamp), message.sender_address)
-        if not known or not node.is_serving():
+        is_up_to_date = await node.catch_up(
+            read_stamp(message.stamp), message.sender_address
+        )
+        if not is_up_to_date or not node.is_serving():
             await self._refuse(stream, message)
             return
         key = _read_key(message)
@@ -65,30 +69,34 @@
         )
         mailbox = self._host.open(arrival, message)
         try:
-            await self._send_words(stream, mailbox)
+            await self._send_events(stream, mailbox)
         finally:
-            # Reached by a cancel of the entry, too.
+            # Also runs when the entry cancels the stream.
             self._host.close(message.request_id)
 
-    async def _send_words(self, stream: _CallStream, mailbox: Mailbox) -> None:
+    async def _send_events(self, stream: _CallStream, mailbox: Mailbox) -> None:
         while True:
-            words = await mailbox.take()
-            for word in _join_chunks(words):
-                await stream.send_message(self._make_reply(word))
-            if any(map(is_final, words)):
+            events = await mailbox.take_all()
+            for event in _batch_chunks(events):
+                await stream.send_message(self._make_reply(event))
+            if any(map(is_final, events)):
                 return
 
     async def _refuse(self, stream: _CallStream, message: pb.CallRequest) -> None:
-        """Refuse before any decision: nothing ran, but a key may be known."""
+        """Refuse an attempt before any decision.
+
+        This attempt did not run. An order with the same key may have run,
+        so for orders the claim is NONE.
+        """
         claim = Claim.NONE if message.key else Claim.NEVER
-        retry_at = self._host.node.now() + _BACK_SOON
+        retry_at = self._host.node.now() + _RETRY_DELAY
         refusal = Refusal(claim, Reason.BEHIND, retry_at)
         await stream.send_message(self._make_reply(Refused(refusal)))
 
-    def _make_reply(self, word: Word | _Chunks) -> pb.CallReply:
+    def _make_reply(self, event: ReplyEvent | _ChunkBatch) -> pb.CallReply:
         reply = pb.CallReply()
-        match word:
-            case _Chunks(first, data):
+        match event:
+            case _ChunkBatch(first, data):
                 reply.chunks.first = first
                 reply.chunks.data.extend(data)
                 return reply
@@ -103,25 +111,28 @@
                 reply.end.count = count
             case Broken(reason):
                 reply.broken.reason = reason.value
-        # Chunks are the bulk of all messages: they carry neither stamp nor
-        # load, which their stream's other messages bring.
+        # Most messages are chunks. They carry no stamp and no load; the other
+        # messages of the stream do.
         reply.stamp.CopyFrom(write_stamp(self._host.node.stamp()))
         reply.load.CopyFrom(write_load(self._host.load()))
         return reply
 
 
-def _join_chunks(words: list[Word]) -> Iterator[Word | _Chunks]:
-    for is_chunk, run in itertools.groupby(words, lambda word: isinstance(word, Chunk)):
+def _batch_chunks(events: list[ReplyEvent]) -> Iterator[ReplyEvent | _ChunkBatch]:
+    for is_chunk, group in itertools.groupby(
+        events, lambda event: isinstance(event, Chunk)
+    ):
         if not is_chunk:
-            yield from run
+            yield from group
             continue
-        chunks = [word for word in run if isinstance(word, Chunk)]
+        chunks = [event for event in group if isinstance(event, Chunk)]
         data = tuple(chunk.data for chunk in chunks)
-        yield _Chunks(chunks[0].sequence, data)
+        yield _ChunkBatch(chunks[0].sequence, data)
 
 
 def _read_key(message: pb.CallRequest) -> OrderKey | None:
     if not message.key:
         return None
-    # An entry sends no key that it couldn't read; unwrap fails the stream.
+    # Entries reject malformed keys, so parsing succeeds; otherwise unwrap
+    # raises and the stream fails.
     return parse_key(message.key).unwrap()
--- a/mintsaddle/endpoint/_workers.py
+++ b/mintsaddle/endpoint/_workers.py
@@ -1,107 +1,138 @@
-"""What a worker thread does: one call to the engine, from start to end."""
+"""Runs one call to the engine in a worker thread."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
 from mintsaddle.decisions.admission import EngineFeedback
 from mintsaddle.decisions.arrivals import EngineResult
 from mintsaddle.endpoint._mailbox import Mailbox
-from mintsaddle.endpoint._words import Broken, Chunk, End, Head, Refused, Word
+from mintsaddle.endpoint._reply_events import (
+    Broken,
+    Chunk,
+    End,
+    Head,
+    Refused,
+    ReplyEvent,
+)
 from mintsaddle.engines import EngineCall, EngineCallResult, EngineHead
 from mintsaddle.values import Claim, Reason, Refusal
 
 if TYPE_CHECKING:
     from mintsaddle.endpoint._host import EndpointHost
 
-_OVERLOADED = frozenset({429, 503})
-_BACK_SOON = 1.0
+_OVERLOAD_STATUSES = frozenset({429, 503})
 
+_RETRY_DELAY = 1.0
+"""Seconds after which a refused request may be retried."""
 
-class CallPlan(NamedTuple):
-    """What a worker thread needs to know of its call."""
+
+class CallParameters(NamedTuple):
+    """Parameters of a call in a worker thread."""
 
     request_id: str
     mailbox: Mailbox
-    """Where words to the entry go."""
+    """Receives the reply events for the entry."""
 
     target: float
-    """Seconds within which a first chunk counts as good."""
+    """Seconds within which the first chunk of a response is in time."""
 
     is_engine: bool
-    """Whether statuses of overload count as such."""
+    """Whether the service is a model engine.
+
+    Only for these do statuses 429 and 503 count as overload.
+    """
 
 
-def run_call(host: "EndpointHost", call: EngineCall, plan: CallPlan) -> None:
-    """Run a repeatable call in a worker thread."""
+def run_call(
+    host: "EndpointHost", call: EngineCall, parameters: CallParameters
+) -> None:
+    """Run a repeatable call and stream its response into the mailbox."""
     post = host.node.loop_thread.post
     clock = host.node.now
     started = clock()
-    request_id = plan.request_id
-    overload_counts = plan.is_engine
-    firsts: list[float] = []
+    request_id = parameters.request_id
+    detects_overload = parameters.is_engine
+    first_chunk_times: list[float] = []
     heads: list[EngineHead] = []
-    sequence = int(plan.mailbox.message.resume_after) + 1
+    sequence = int(parameters.mailbox.message.resume_after) + 1
 
     def on_head(head: EngineHead) -> None:
         heads.append(head)
-        refused = overload_counts and head.status in _OVERLOADED
-        post(host.see_head, head)
+        refused = detects_overload and head.status in _OVERLOAD_STATUSES
+        post(host.handle_response_head, head)
         if not refused:
-            plan.mailbox.put_from_thread(Head(head.status, head.content_type), post)
+            parameters.mailbox.put_from_thread(
+                Head(head.status, head.content_type), post
+            )
 
     def on_chunk(data: bytes) -> None:
         nonlocal sequence
-        if not firsts:
-            firsts.append(clock())
-        if not (overload_counts and heads[0].status in _OVERLOADED):
-            plan.mailbox.put_from_thread(Chunk(sequence, data), post)
+        if not first_chunk_times:
+            first_chunk_times.append(clock())
+        if not (detects_overload and heads[0].status in _OVERLOAD_STATUSES):
+            parameters.mailbox.put_from_thread(Chunk(sequence, data), post)
         sequence += 1
 
-    end = call.run(on_head, on_chunk)
-    overloaded = overload_counts and bool(heads) and heads[0].status in _OVERLOADED
-    in_time = bool(firsts) and firsts[0] - started <= plan.target
-    evidence = _judge(end, overloaded=overloaded, in_time=in_time)
-    word = _last_word(end, sequence - 1, overloaded=overloaded, now=clock())
-    post(host.see_end, request_id, EngineResult(evidence, end.reached), word)
-
-
-def run_order(host: "EndpointHost", call: EngineCall, plan: CallPlan) -> None:
-    """Run an order in a worker thread; the ledger keeps its answer."""
+    call_result = call.run(on_head, on_chunk)
+    overloaded = (
+        detects_overload and bool(heads) and heads[0].status in _OVERLOAD_STATUSES
+    )
+    in_time = (
+        bool(first_chunk_times) and first_chunk_times[0] - started <= parameters.target
+    )
+    feedback = _classify_feedback(call_result, overloaded=overloaded, in_time=in_time)
+    final_event = _make_final_event(
+        call_result, sequence - 1, overloaded=overloaded, now=clock()
+    )
+    post(
+        host.handle_call_end,
+        request_id,
+        EngineResult(feedback, call_result.reached),
+        final_event,
+    )
+
+
+def run_order(
+    host: "EndpointHost", call: EngineCall, parameters: CallParameters
+) -> None:
+    """Run an order and collect its response for the ledger."""
     post = host.node.loop_thread.post
     clock = host.node.now
     started = clock()
-    request_id = plan.request_id
+    request_id = parameters.request_id
     heads: list[EngineHead] = []
     parts: list[bytes] = []
 
     def on_head(head: EngineHead) -> None:
         heads.append(head)
-        post(host.see_head, head)
+        post(host.handle_response_head, head)
 
-    end = call.run(on_head, parts.append)
-    in_time = clock() - started <= plan.target
-    evidence = _judge(end, overloaded=False, in_time=in_time)
+    call_result = call.run(on_head, parts.append)
+    in_time = clock() - started <= parameters.target
+    feedback = _classify_feedback(call_result, overloaded=False, in_time=in_time)
     status = heads[0].status if heads else 0
     content_type = heads[0].content_type if heads else ""
     body = b"".join(parts)
-    result = EngineResult(evidence, end.reached, status, content_type, body)
-    post(host.see_end, request_id, result, None)
+    result = EngineResult(feedback, call_result.reached, status, content_type, body)
+    post(host.handle_call_end, request_id, result, None)
 
 
-def _judge(end: EngineCallResult, *, overloaded: bool, in_time: bool) -> EngineFeedback:
+def _classify_feedback(
+    call_result: EngineCallResult, *, overloaded: bool, in_time: bool
+) -> EngineFeedback:
     if overloaded:
         return EngineFeedback.OVERLOADED
-    if not end.is_complete:
+    if not call_result.is_complete:
         return EngineFeedback.FAILED
     return EngineFeedback.GOOD if in_time else EngineFeedback.SLOW
 
 
-def _last_word(
-    end: EngineCallResult, count: int, *, overloaded: bool, now: float
-) -> Word:
+def _make_final_event(
+    call_result: EngineCallResult, count: int, *, overloaded: bool, now: float
+) -> ReplyEvent:
     if overloaded:
-        return Refused(Refusal(Claim.NEVER, Reason.FULL, now + _BACK_SOON))
-    if not end.reached:
-        return Refused(Refusal(Claim.NEVER, Reason.ENGINE_DOWN, now + _BACK_SOON))
-    if not end.is_complete:
+        return Refused(Refusal(Claim.NEVER, Reason.FULL, now + _RETRY_DELAY))
+    if not call_result.reached:
+        return Refused(Refusal(Claim.NEVER, Reason.ENGINE_DOWN, now + _RETRY_DELAY))
+    if not call_result.is_complete:
         return Broken(Reason.ENGINE_FAILED)
     return End(count)
