--- a/mintsaddle/direct/_app.py
+++ b/mintsaddle/direct/_app.py
@@ -22,7 +22,7 @@
 from mintsaddle.direct._timing import StreamTiming
 from mintsaddle.direct._watchdog import Watchdog
 from mintsaddle.observe import HistogramKey, Measure, fields, make_logger
-from mintsaddle.platform import CallerHead, make_refusal, read_caller_head
+from mintsaddle.platform import RequestHead, make_refusal, read_request_head
 from mintsaddle.values import Instant, Outcome, Reason
 
 StartResponse: TypeAlias = Any
@@ -81,7 +81,7 @@
         self, environ: _Environ, start_response: StartResponse, *, is_full: bool
     ) -> Iterable[bytes]:
         arrived_at = self._gateway.now()
-        head = read_caller_head(environ)
+        head = read_request_head(environ)
         table = self._gateway.directory.table
         if table is None:
             return self._refuse(start_response, head, Reason.BEHIND)
@@ -104,7 +104,7 @@
         return self._run(environ, start_response, call, request)
 
     def _make_call(
-        self, head: CallerHead, route: Route, holder: KeyHolder, arrived_at: Instant
+        self, head: RequestHead, route: Route, holder: KeyHolder, arrived_at: Instant
     ) -> DirectCall:
         # Deadlines beyond the route's timeout are capped before they are
         # recorded: a few of them would make all other callers look like ones
@@ -189,7 +189,7 @@
         return ()
 
     def _refuse(
-        self, start_response: StartResponse, head: CallerHead, reason: Reason
+        self, start_response: StartResponse, head: RequestHead, reason: Reason
     ) -> Iterable[bytes]:
         """Refuse a request that was sent to no endpoint."""
         self._gateway.metrics.count(f"refused_{reason.value}")
@@ -205,7 +205,7 @@
         return ()
 
     def _deny(
-        self, start_response: StartResponse, head: CallerHead, status: str, reason: str
+        self, start_response: StartResponse, head: RequestHead, status: str, reason: str
     ) -> Iterable[bytes]:
         """Deny what the table doesn't allow, if the table is recent.
 
@@ -234,7 +234,7 @@
             if permit_at is not None:
                 preferred = permit_at - gateway.now()
         if reason is Reason.ISOLATED:
-            preferred = max(_USUAL_RETRY_SECONDS, gateway.reach.seconds_to_move)
+            preferred = max(_USUAL_RETRY_SECONDS, gateway.reach.failover_seconds_left)
         with gateway.lock:
             return advise_retry(seconds_left, preferred, gateway.rng)
 
--- a/mintsaddle/direct/_calls.py
+++ b/mintsaddle/direct/_calls.py
@@ -7,7 +7,7 @@
     RoutingTable,
     choose_service,
 )
-from mintsaddle.platform import CallerHead
+from mintsaddle.platform import RequestHead
 from mintsaddle.values import Instant
 
 ANONYMOUS = KeyHolder("", None)
@@ -15,7 +15,7 @@
 
 
 def find_key_holder(
-    table: RoutingTable, route: Route, head: CallerHead
+    table: RoutingTable, route: Route, head: RequestHead
 ) -> KeyHolder | None:
     """Return the holder of the caller's key; None if it is unknown."""
     if table.keys is None:
@@ -27,7 +27,7 @@
 
 
 def make_call(
-    head: CallerHead,
+    head: RequestHead,
     route: Route,
     holder: KeyHolder,
     arrived_at: Instant,
--- a/mintsaddle/direct/_choice.py
+++ b/mintsaddle/direct/_choice.py
@@ -186,10 +186,10 @@
 ) -> None:
     reached = {one.data_centre for one in asked if one.name in reports}
     for data_centre in reached:
-        gateway.reach.record(data_centre, came=True)
+        gateway.reach.record(data_centre, received=True)
     for one in asked:
         if one.place is not None and one.data_centre not in reached:
-            gateway.reach.record(one.data_centre, came=False)
+            gateway.reach.record(one.data_centre, received=False)
 
 
 def _record_paces(
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -41,10 +41,10 @@
 from mintsaddle.direct._watchdog import Watchdog, WatchedExchange
 from mintsaddle.observe import fields, make_logger
 from mintsaddle.platform import (
-    AnswerHead,
-    make_answer_headers,
+    ResponseHead,
     make_endpoint_headers,
-    read_answer_head,
+    make_response_headers,
+    read_response_head,
 )
 from mintsaddle.values import Instant, Reason
 
@@ -66,7 +66,7 @@
     exchange: Exchange
     watched: WatchedExchange
     response: http.client.HTTPResponse
-    head: AnswerHead
+    head: ResponseHead
 
 
 class CallRunner:
@@ -106,7 +106,7 @@
             if isinstance(result, _Attempt):
                 if result.head.is_stream:
                     self._call = self._call._replace(response_started=True)
-                    headers = make_answer_headers(result.response)
+                    headers = make_response_headers(result.response)
                     events = self._relay_stream(result)
                     return StreamAnswer(result.head.status, headers, events)
                 answer = self._read_answer(result)
@@ -147,10 +147,10 @@
     ) -> tuple[Ending, _Attempt | None]:
         is_fresh = not exchange.is_reused
         if not exchange.connect():
-            self._gateway.reach.record(endpoint.data_centre, came=False)
+            self._gateway.reach.record(endpoint.data_centre, received=False)
             return Ending.NOT_SENT, None
         if is_fresh:
-            self._gateway.reach.record(endpoint.data_centre, came=True)
+            self._gateway.reach.record(endpoint.data_centre, received=True)
         call, request = self._call, self._request
         left = call.deadline - self._gateway.now()
         if left <= 0:
@@ -175,13 +175,13 @@
             self._log_broken_answer(endpoint, error)
             is_silent = self._gateway.now() >= watched.expires_at
             return Ending.SILENT if is_silent else Ending.BROKEN, None
-        head = read_answer_head(response, call.request_id, endpoint.slots)
+        head = read_response_head(response, call.request_id, endpoint.slots)
         self._record_head(endpoint, head)
         if head.is_misdirected:
             if not head.at_fault:
                 self._gateway.record_replaced(endpoint.name)
             return Ending.MISDIRECTED, None
-        if head.never_ran:
+        if head.not_executed:
             place = endpoint.place
             if head.at_fault and place is not None:
                 self._gateway.record_group_refusal(
@@ -189,7 +189,7 @@
                 )
                 return Ending.GROUP_DOWN, None
             return Ending.NOT_RUN, None
-        if not head.is_ours:
+        if not head.is_authentic:
             return Ending.BROKEN, None
         return Ending.BROKEN, _Attempt(endpoint, exchange, watched, response, head)
 
@@ -211,7 +211,7 @@
             self._log_broken_answer(attempt.endpoint, error)
         else:
             is_complete = True
-            headers = make_answer_headers(attempt.response)
+            headers = make_response_headers(attempt.response)
             answer = BufferedAnswer(attempt.head.status, headers, body)
             repeat = self._call.route.repeat
             if attempt.head.status < _SERVER_ERROR or repeat is Repeat.ONCE:
@@ -293,7 +293,7 @@
         )
         return decision if isinstance(decision, GiveUp) else None
 
-    def _record_head(self, endpoint: Incarnation, head: AnswerHead) -> None:
+    def _record_head(self, endpoint: Incarnation, head: ResponseHead) -> None:
         gateway = self._gateway
         if not head.is_misdirected:
             gateway.record_rate_limit(endpoint.name, head.rate_limit, gateway.now())
