--- a/mintsaddle/platform/tests/standins.py
+++ b/mintsaddle/platform/tests/standins.py
@@ -1,6 +1,6 @@
-"""Small stand-ins of the platform's store and endpoints, and a site of them.
+"""Fakes of the platform's store and endpoints, and a site built of them.
 
-They speak what the platform's pages say, as far as the tests need it.
+They implement the part of the platform's protocol that the tests need.
 """
 
 import base64
@@ -21,14 +21,14 @@
 from urllib.parse import parse_qs, urlsplit
 
 WAIT_SECONDS = 10.0
-"""Seconds within which what a test waits for has to happen."""
+"""Timeout of each wait in a test, in seconds."""
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
     """Wait until a condition holds.
 
     Raises:
-        AssertionError: It didn't in time.
+        AssertionError: The condition didn't hold in time.
     """
     deadline = time.monotonic() + WAIT_SECONDS
     while time.monotonic() < deadline:
@@ -42,7 +42,7 @@
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *_: object) -> None:
-        """Keep the test's output quiet."""
+        """Log nothing, so that test output stays readable."""
 
     def send_json(self, status: int, values: object, **headers: str) -> None:
         body = json.dumps(values).encode()
@@ -59,45 +59,46 @@
     daemon_threads = True
 
     def handle_error(self, *_: object) -> None:
-        """Callers that hang up are part of the tests."""
+        """Ignore errors of connections that the caller closes."""
 
 
 class StoreCopy(NamedTuple):
-    """What a store held at some moment."""
+    """A snapshot of a store."""
 
     items: dict[str, dict[str, Any]]
     revision: int
 
 
 class Store:
-    """The platform's store: items by key, readable and watchable."""
+    """The platform's store: items by key, with range reads and watches."""
 
     def __init__(self) -> None:
         self.items: dict[str, dict[str, Any]] = {}
         self.events: list[dict[str, Any]] = []
         self.revision = 1
         self.era = 1
-        self.names_era = True
+        self.sends_era = True
         self.history_from = 0
         self.is_down = False
-        self.watching = 0
-        self.readings = 0
-        """First pages of readings."""
+        self.open_watches = 0
+        self.full_reads = 0
+        """Number of range reads, counted at their first page."""
 
-        self.gone = 0
-        """Watches that were told that their history is gone."""
+        self.history_gone_responses = 0
+        """Number of watches answered with status 410, history gone."""
+
+        self.delivered_revisions: list[int] = []
+        """Revisions of the events sent, once for each watch that got them."""
 
-        self.told: list[int] = []
-        """Revisions of changes, once for each watch that was answered."""
         self.on_page: Callable[[str], None] = lambda after: None
-        """Called before a page is read, with the key that it begins after."""
+        """Called before a page is read, with the key after which it begins."""
 
         self.changed = threading.Condition()
         store = self
 
         class Handler(_Handler):
             def do_GET(self) -> None:
-                store.answer(self)
+                store.handle(self)
 
         self._server = _Server(("127.0.0.1", 0), Handler)
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
@@ -141,9 +142,9 @@
             return StoreCopy(dict(self.items), self.revision)
 
     def restore(self, copy: StoreCopy) -> None:
-        """Go back to a copy: later revisions are given out again.
+        """Go back to a copy, after which later revisions are reused.
 
-        Watches that wait are cut, as by any absence.
+        Open watches lose their connection, as in any outage.
         """
         with self.changed:
             self.items = dict(copy.items)
@@ -152,7 +153,7 @@
             self.era += 1
             self.changed.notify_all()
 
-    def answer(self, handler: _Handler) -> None:
+    def handle(self, handler: _Handler) -> None:
         if self.is_down:
             handler.close_connection = True
             return
@@ -164,48 +165,52 @@
         if parts.path.endswith("kv-range"):
             self.on_page(query.get("after", ""))
             with self.changed:
-                self.readings += "after" not in query
+                self.full_reads += "after" not in query
                 items = [
                     item
                     for key, item in sorted(self.items.items())
                     if key.startswith(query["prefix"]) and key > query.get("after", "")
                 ]
-                answer = {"items": items[:2], "has_more": len(items) > 2}
-                answer["at"] = self.revision
+                page = {"items": items[:2], "has_more": len(items) > 2}
+                page["at"] = self.revision
                 headers = self._headers()
-            handler.send_json(200, answer, **headers)
+            handler.send_json(200, page, **headers)
         else:
-            self._answer_watch(handler, query)
+            self._handle_watch(handler, query)
 
-    def _answer_watch(self, handler: _Handler, query: dict[str, str]) -> None:
+    def _handle_watch(self, handler: _Handler, query: dict[str, str]) -> None:
         after = int(query["after"])
         deadline = time.monotonic() + int(query["wait_ms"]) / 1000
         with self.changed:
-            self.watching += 1
+            self.open_watches += 1
             era = self.era
             while not (events := self._events(query["prefix"], after)):
-                left = deadline - time.monotonic()
-                if left <= 0 or self._lacks(after) or self.is_down:
+                seconds_left = deadline - time.monotonic()
+                if seconds_left <= 0 or self._is_history_gone(after) or self.is_down:
                     break
                 if era != self.era:
                     break
-                self.changed.wait(min(left, 0.1))
-            at, headers, is_lost = self.revision, self._headers(), self._lacks(after)
+                self.changed.wait(min(seconds_left, 0.1))
+            at, headers, is_history_gone = (
+                self.revision,
+                self._headers(),
+                self._is_history_gone(after),
+            )
             is_cut = era != self.era
-            self.gone += is_lost and not is_cut
-            self.watching -= 1
-            self.told += [event["revision"] for event in events]
+            self.history_gone_responses += is_history_gone and not is_cut
+            self.open_watches -= 1
+            self.delivered_revisions += [event["revision"] for event in events]
         if self.is_down or is_cut:
             handler.close_connection = True
-        elif is_lost:
+        elif is_history_gone:
             handler.send_json(410, {}, **headers)
         else:
             handler.send_json(200, {"events": events, "at": at}, **headers)
 
     def _headers(self) -> dict[str, str]:
-        return {"Store_Era": str(self.era)} if self.names_era else {}
+        return {"Store_Era": str(self.era)} if self.sends_era else {}
 
-    def _lacks(self, revision: int) -> bool:
+    def _is_history_gone(self, revision: int) -> bool:
         return not self.history_from <= revision <= self.revision
 
     def _events(self, prefix: str, after: int) -> list[dict[str, Any]]:
@@ -216,28 +221,28 @@
         ]
 
 
-Act = Callable[["Endpoint", _Handler], None]
-"""What an endpoint does with one request."""
+Responder = Callable[["Endpoint", _Handler], None]
+"""Handles one request to an endpoint."""
 
 
 class Endpoint:
-    """An endpoint; acts are taken from a list, then it answers well."""
+    """An endpoint that uses its queued responders, then responds with 200."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.acts: list[Act] = []
+        self.responders: list[Responder] = []
         self.requests: list[dict[str, str]] = []
         self.arrivals: list[float] = []
         self.rate_limit: str | None = None
-        self.freed = threading.Event()
+        self.connection_closed = threading.Event()
         endpoint = self
 
         class Handler(_Handler):
             def do_GET(self) -> None:
-                endpoint.take(self)
+                endpoint.handle(self)
 
             def do_POST(self) -> None:
-                endpoint.take(self)
+                endpoint.handle(self)
 
         self._server = _Server(("127.0.0.1", 0), Handler)
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
@@ -246,7 +251,7 @@
     def address(self) -> str:
         return f"127.0.0.1:{self._server.server_address[1]}"
 
-    def take(self, handler: _Handler) -> None:
+    def handle(self, handler: _Handler) -> None:
         length = int(handler.headers.get("Content-Length") or 0)
         handler.rfile.read(length)
         _, port = handler.client_address
@@ -254,8 +259,8 @@
             {"target": handler.path, "port": str(port), **dict(handler.headers.items())}
         )
         self.arrivals.append(time.monotonic())
-        act = self.acts.pop(0) if self.acts else answer_well
-        act(self, handler)
+        responder = self.responders.pop(0) if self.responders else respond_ok
+        responder(self, handler)
 
 
 def _send_head(
@@ -273,15 +278,15 @@
     handler.end_headers()
 
 
-def answer_well(endpoint: Endpoint, handler: _Handler) -> None:
+def respond_ok(endpoint: Endpoint, handler: _Handler) -> None:
     body = f"whole answer of {endpoint.name}".encode()
     _send_head(endpoint, handler, 200, Content_Length=str(len(body)))
     handler.wfile.write(body)
 
 
-def answer_for_another(endpoint: Endpoint, handler: _Handler) -> None:
+def respond_to_other_attempt(endpoint: Endpoint, handler: _Handler) -> None:
     handler.headers.replace_header("X-Mintsaddle-Attempt-Id", "another")
-    answer_well(endpoint, handler)
+    respond_ok(endpoint, handler)
 
 
 def refuse(endpoint: Endpoint, handler: _Handler) -> None:
@@ -291,28 +296,31 @@
     handler.end_headers()
 
 
-def cut(endpoint: Endpoint, handler: _Handler) -> None:
+def drop_connection(endpoint: Endpoint, handler: _Handler) -> None:
     handler.close_connection = True
 
 
-def cut_short(endpoint: Endpoint, handler: _Handler) -> None:
+def truncate_response(endpoint: Endpoint, handler: _Handler) -> None:
     _send_head(endpoint, handler, 200, Content_Length="100")
     handler.wfile.write(b"half an answer")
     handler.close_connection = True
 
 
-def stay_silent(endpoint: Endpoint, handler: _Handler) -> None:
-    """Answer nothing; note when the caller's side closes the connection."""
+def never_respond(endpoint: Endpoint, handler: _Handler) -> None:
+    """Send no response; record when the caller closes the connection."""
     handler.connection.settimeout(WAIT_SECONDS)
     if not handler.connection.recv(1):
-        endpoint.freed.set()
+        endpoint.connection_closed.set()
     handler.close_connection = True
 
 
-def stream(first: int, last: int, *, is_whole: bool = True) -> Act:
-    """Return an act that streams events; cut in the middle of one if told."""
+def stream_events(first: int, last: int, *, is_complete: bool = True) -> Responder:
+    """Return a responder that streams events.
+
+    Unless `is_complete`, the connection closes in the middle of an event.
+    """
 
-    def act(endpoint: Endpoint, handler: _Handler) -> None:
+    def responder(endpoint: Endpoint, handler: _Handler) -> None:
         _send_head(
             endpoint,
             handler,
@@ -322,13 +330,13 @@
         )
         for number in range(first, last + 1):
             _send_chunk(handler, b"id: %d\ndata: piece\n\n" % number)
-        if is_whole:
+        if is_complete:
             handler.wfile.write(b"0\r\n\r\n")
         else:
             _send_chunk(handler, b"id: %d\nda" % (last + 1))
             handler.close_connection = True
 
-    return act
+    return responder
 
 
 def _send_chunk(handler: _Handler, data: bytes) -> None:
@@ -336,8 +344,8 @@
     handler.wfile.flush()
 
 
-def announce(
-    endpoint: Endpoint, service: str, zone: str = "a", **other: object
+def make_announcement(
+    endpoint: Endpoint, service: str, zone: str = "a", **overrides: object
 ) -> dict[str, object]:
     """Return the announcement of an endpoint."""
     return {
@@ -350,12 +358,12 @@
         "cold_left_ms": 0,
         "sequence": 1,
         "born": 1_700_000_000_000,
-        **other,
+        **overrides,
     }
 
 
-def make_configuration(version: int = 1, **other: object) -> dict[str, object]:
-    """Return a configuration with a route of each kind."""
+def make_configuration(version: int = 1, **overrides: object) -> dict[str, object]:
+    """Return a configuration with one route of each kind."""
     kinds = {
         "lookup": {"kind": "idempotent", "max_attempts": 2},
         "order": {"kind": "non_idempotent", "max_attempts": 1},
@@ -386,20 +394,22 @@
             "idle_timeout_ms": 15000,
         },
         "tenants": [{"name": "north", "api_keys": ["good-key"]}],
-        **other,
+        **overrides,
     }
 
 
 FIRST_PORT, LAST_PORT = 10_000, 32_000
-"""Ports for processes that bind them later: below those that the system draws
-for others. Drawn by the system, one in a thousand was drawn again by another
-test before its process had bound it, and that process ended at its start."""
+"""Ports for processes that bind them later; below the ephemeral range.
+
+About one in a thousand ephemeral ports is assigned to another test before the
+process binds it; the process then exits at startup.
+"""
 
 _next_port = itertools.count(os.getpid() * 2_503)
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free, each one once in a process's life."""
+    """Return free ports; no port is returned twice in one test process."""
     ports: list[int] = []
     while len(ports) < count:
         port = FIRST_PORT + next(_next_port) % (LAST_PORT - FIRST_PORT)
@@ -417,7 +427,7 @@
 
 
 class Entry:
-    """A real entry process."""
+    """An entry that runs as a process."""
 
     def __init__(
         self, folder: Path, name: str, store: str, seeds: list[str] | None = None
@@ -447,29 +457,29 @@
         )
 
     def stop(self) -> None:
-        """End the process, whatever it does."""
+        """Kill the process if it still runs."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
             self.process.wait()
         self._log.close()
 
     def terminate(self) -> None:
-        """Tell it to stop."""
+        """Send SIGTERM to the process."""
         self.process.send_signal(signal.SIGTERM)
 
     def change_settings(self, old: str, new: str) -> None:
-        """Change a line of its settings file."""
+        """Replace a text in the settings file."""
         text = self._settings.read_text()
         assert old in text
         self._settings.write_text(text.replace(old, new))
 
     def log(self) -> str:
-        """Return what it has logged."""
+        """Return the log so far."""
         self._log.seek(0)
         return self._log.read()
 
     def is_ready(self) -> bool:
-        """Return whether it says that it serves."""
+        """Return whether the readiness check succeeds."""
         try:
             connection = http.client.HTTPConnection(f"127.0.0.1:{self.ready}")
             connection.request("GET", "/mintsaddle/ready")
@@ -480,7 +490,7 @@
     def open(
         self, method: str, path: str, **headers: str
     ) -> http.client.HTTPConnection:
-        """Send a request; the answer isn't read yet."""
+        """Send a request without reading the response."""
         connection = http.client.HTTPConnection(
             f"127.0.0.1:{self.front}", timeout=WAIT_SECONDS
         )
@@ -495,7 +505,7 @@
         return connection
 
     def fetch_metrics(self) -> str:
-        """Return its metrics page."""
+        """Return the text of the metrics page."""
         connection = http.client.HTTPConnection(f"127.0.0.1:{self.metrics}")
         connection.request("GET", "/metrics")
         return connection.getresponse().read().decode()
@@ -503,7 +513,7 @@
     def call(
         self, method: str, path: str, **headers: str
     ) -> tuple[int, dict[str, str], bytes]:
-        """Return status, headers and body of a request."""
+        """Return status, headers and body of the response to a request."""
         response = self.open(method, path, **headers).getresponse()
         return response.status, dict(response.headers), response.read()
 
@@ -553,16 +563,21 @@
         return self.entries[0]
 
     def start(self) -> None:
-        """Publish all and wait until the entry serves."""
+        """Publish configuration and endpoints; wait until the entry serves."""
         self.store.put("op/config", make_configuration())
         for endpoint in self.endpoints:
-            self.store.put(f"servers/{endpoint.name}", announce(endpoint, "desk"))
+            self.store.put(
+                f"servers/{endpoint.name}", make_announcement(endpoint, "desk")
+            )
         self.add_entry(self.store.address)
         try:
             wait_for(self.entry.is_ready, "ready entry")
-            wait_for(lambda: "endpoints=2" in self.entry.log(), "known endpoints")
+            wait_for(
+                lambda: "endpoints=2" in self.entry.log(),
+                "log line with both endpoints",
+            )
         except AssertionError as error:
-            # Without its log a failure that shows once can't be traced.
+            # Without the log an intermittent failure can't be diagnosed.
             raise AssertionError(f"{error}; its log:\n{self.entry.log()}") from error
 
     def add_entry(self, store: str, seeds: list[str] | None = None) -> Entry:
@@ -572,31 +587,31 @@
         self.entries.append(entry)
         return entry
 
-    def script(self, *acts: Act) -> None:
-        """Let whichever endpoint is asked next do the next act."""
-        acts_left = list(acts)
+    def script(self, *responders: Responder) -> None:
+        """Use the responders in order, whichever endpoint gets a request."""
+        remaining = list(responders)
 
-        def next_act(endpoint: Endpoint, handler: _Handler) -> None:
-            act = acts_left.pop(0) if acts_left else answer_well
-            act(endpoint, handler)
+        def respond_next(endpoint: Endpoint, handler: _Handler) -> None:
+            responder = remaining.pop(0) if remaining else respond_ok
+            responder(endpoint, handler)
 
         for endpoint in self.endpoints:
-            endpoint.acts = [next_act] * len(acts)
+            endpoint.responders = [respond_next] * len(responders)
 
     def requests(self) -> list[dict[str, str]]:
-        """Return what all endpoints have got."""
-        return [one for endpoint in self.endpoints for one in endpoint.requests]
+        """Return the requests that the endpoints have received."""
+        return [request for endpoint in self.endpoints for request in endpoint.requests]
 
 
-def run_site(folder: Path, *, names_era: bool = True) -> Iterator[Site]:
-    """Give a running site, and stop its processes in the end.
+def run_site(folder: Path, *, sends_era: bool = True) -> Iterator[Site]:
+    """Yield a running site and stop its processes afterwards.
 
     Args:
-        folder: Where its settings and logs go.
-        names_era: Whether its store names its era.
+        folder: Directory for settings and log files.
+        sends_era: Whether the store sends its era in a header.
     """
     site = Site(folder)
-    site.store.names_era = names_era
+    site.store.sends_era = sends_era
     try:
         site.start()
         yield site
--- a/mintsaddle/platform/tests/test_client.py
+++ b/mintsaddle/platform/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The platform's answers, good and bad."""
+"""Valid and invalid responses of the platform."""
 
 import json
 import socket
@@ -11,52 +11,54 @@
 from mintsaddle.platform._client import MAX_RESPONSE_BYTES
 
 
-def answer(body: bytes, status: str = "200 OK") -> bytes:
+def make_response(body: bytes, status: str = "200 OK") -> bytes:
     head = f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
-def value(revision: object, text: object = "x") -> bytes:
-    return answer(json.dumps({"revision": revision, "value": text}).encode())
+def make_value_response(revision: object, text: object = "x") -> bytes:
+    return make_response(json.dumps({"revision": revision, "value": text}).encode())
 
 
 class TestWatchValue:
     @pytest.mark.parametrize(
-        ("served", "found"),
+        ("response", "expected"),
         [
-            (value(8), PlatformValue(8, "x")),
-            (value(7), None),
-            (value(3), None),
-            (answer(b"", "304 Not Modified"), None),
+            (make_value_response(8), PlatformValue(8, "x")),
+            (make_value_response(7), None),
+            (make_value_response(3), None),
+            (make_response(b"", "304 Not Modified"), None),
         ],
     )
-    def test_only_newer_values_are_given(
-        self, served: bytes, found: PlatformValue | None
+    def test_only_newer_values_are_returned(
+        self, response: bytes, expected: PlatformValue | None
     ) -> None:
-        with engine(served) as address:
-            assert watch_value(address, "fleet", 7, 0.0) == Success(found)
+        with engine(response) as address:
+            assert watch_value(address, "fleet", 7, 0.0) == Success(expected)
 
     @pytest.mark.parametrize(
-        ("served", "problem"),
+        ("response", "message"),
         [
-            (answer(b"garbage"), "unreadable"),
-            (answer(b"[1]"), "unreadable"),
-            (answer(b'{"value": "x"}'), "unreadable"),
-            (value("new"), "unreadable"),
-            (answer(b"", "500 Broken"), "status 500"),
-            (answer(b" " * (MAX_RESPONSE_BYTES + 1)), "is over"),
+            (make_response(b"garbage"), "unreadable"),
+            (make_response(b"[1]"), "unreadable"),
+            (make_response(b'{"value": "x"}'), "unreadable"),
+            (make_value_response("new"), "unreadable"),
+            (make_response(b"", "500 Broken"), "status 500"),
+            (make_response(b" " * (MAX_RESPONSE_BYTES + 1)), "is over"),
             (b"", "can't read"),
             (b"\x00\xff\r\n\r\n", "can't read"),
         ],
     )
-    def test_bad_answers_are_named(self, served: bytes, problem: str) -> None:
-        with engine(served) as address:
+    def test_invalid_responses_are_reported(
+        self, response: bytes, message: str
+    ) -> None:
+        with engine(response) as address:
             result = watch_value(address, "fleet", 7, 0.0)
         assert isinstance(result, Failure)
-        assert problem in result.failure()
+        assert message in result.failure()
 
     def test_platform_that_is_slow(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A daemon would wait for a platform that never answers."""
+        """Guards against a daemon that waits forever for a response."""
         monkeypatch.setattr(_client, "_TIMEOUT_SLACK_SECONDS", 0.2)
         with engine(b"", keeps_open=True) as address:
             result = watch_value(address, "fleet", 0, 0.0)
--- a/mintsaddle/platform/tests/test_entry_process.py
+++ b/mintsaddle/platform/tests/test_entry_process.py
@@ -1,4 +1,4 @@
-"""A real entry process among stand-ins of the store and of endpoints."""
+"""A real entry process with a fake store and fake endpoints."""
 
 import http.client
 import signal
@@ -21,35 +21,37 @@
 
 class TestRepeats:
     def test_a_lookup_is_repeated_elsewhere_after_a_cut(self, site: Site) -> None:
-        site.script(standins.cut)
+        site.script(standins.drop_connection)
         status, headers, body = site.entry.call("GET", "/lookup/1")
         assert (status, len(site.requests())) == (200, 2)
-        asked = {one["X-Mintsaddle-Expect-Instance"] for one in site.requests()}
-        assert asked == {"e-1", "e-2"}
+        instances = {
+            request["X-Mintsaddle-Expect-Instance"] for request in site.requests()
+        }
+        assert instances == {"e-1", "e-2"}
         assert headers["X-Mintsaddle-Response-Stamp"] in ("by-e-1", "by-e-2")
         assert body.startswith(b"whole answer of e-")
 
     def test_an_order_is_not_repeated_after_a_cut(self, site: Site) -> None:
-        """Guards against an order that runs at two endpoints."""
-        site.script(standins.cut)
+        """Guards against an order that two endpoints execute."""
+        site.script(standins.drop_connection)
         status, _, _ = site.entry.call("POST", "/order/1")
         assert (status, len(site.requests())) == (502, 1)
 
-    def test_an_order_that_was_refused_is_said_not_to_have_run(
-        self, site: Site
-    ) -> None:
+    def test_an_order_that_was_refused_is_reported_as_not_run(self, site: Site) -> None:
         site.script(standins.refuse)
         status, headers, _ = site.entry.call("POST", "/order/1")
         assert (status, len(site.requests())) == (503, 1)
         assert float(headers["Retry-After"]) > 0
 
     @pytest.mark.parametrize(
-        "act", [standins.cut_short, standins.answer_for_another], ids=["short", "other"]
+        "responder",
+        [standins.truncate_response, standins.respond_to_other_attempt],
+        ids=["short", "other"],
     )
-    def test_what_is_not_the_whole_own_answer_is_not_passed_on(
-        self, site: Site, act: standins.Act
+    def test_a_truncated_or_foreign_response_is_not_passed_on(
+        self, site: Site, responder: standins.Responder
     ) -> None:
-        site.script(act)
+        site.script(responder)
         status, headers, _ = site.entry.call("POST", "/order/1")
         assert status == 502
         assert "X-Mintsaddle-Response-Stamp" not in headers
@@ -57,14 +59,20 @@
 
 class TestStreams:
     def test_a_cut_stream_goes_on_after_its_last_whole_event(self, site: Site) -> None:
-        """Guards against an event that is lost or comes twice."""
-        site.script(standins.stream(1, 3, is_whole=False), standins.stream(4, 5))
+        """Guards against lost and duplicate events."""
+        site.script(
+            standins.stream_events(1, 3, is_complete=False),
+            standins.stream_events(4, 5),
+        )
         status, _, body = site.entry.call("POST", "/letter/1")
         assert status == 200
         ids = [line for line in body.split(b"\n") if line.startswith(b"id:")]
         assert ids == [b"id: %d" % number for number in range(1, 6)]
         assert site.requests()[-1].get("Last-Event-Id", "3") == "3"
-        wait_for(lambda: "ending=streamed" in site.entry.log(), "line about the end")
+        wait_for(
+            lambda: "ending=streamed" in site.entry.log(),
+            "log line of the ended request",
+        )
         (ended,) = [line for line in site.entry.log().splitlines() if "Ended" in line]
         assert " first=0." in ended
         assert " longest_pause=0." in ended
@@ -72,45 +80,49 @@
     def test_a_stream_that_cannot_go_on_does_not_look_complete(
         self, site: Site
     ) -> None:
-        site.script(standins.stream(1, 2, is_whole=False), standins.refuse)
+        site.script(standins.stream_events(1, 2, is_complete=False), standins.refuse)
         response = site.entry.open("POST", "/letter/1").getresponse()
         with pytest.raises(http.client.IncompleteRead):
             response.read()
 
     def test_a_caller_that_leaves_frees_its_endpoint(self, site: Site) -> None:
-        """Guards against engines full of work that nobody waits for."""
-        site.script(standins.stay_silent)
+        """Guards against engines that run requests of disconnected callers."""
+        site.script(standins.never_respond)
         connection = site.entry.open("POST", "/letter/1")
         wait_for(lambda: len(site.requests()) == 1, "request at an endpoint")
         connection.close()
-        left_at = time.monotonic()
+        closed_at = time.monotonic()
         wait_for(
-            lambda: any(endpoint.freed.is_set() for endpoint in site.endpoints),
-            "freed endpoint",
+            lambda: any(
+                endpoint.connection_closed.is_set() for endpoint in site.endpoints
+            ),
+            "closed connection at an endpoint",
         )
-        assert time.monotonic() - left_at < 0.5
+        assert time.monotonic() - closed_at < 0.5
 
 
 class TestConnections:
-    def test_only_what_may_be_repeated_goes_over_a_kept_connection(
-        self, site: Site
-    ) -> None:
-        """Guards against an order reset on an idle connection."""
+    def test_only_repeatable_requests_reuse_a_connection(self, site: Site) -> None:
+        """Guards against orders that fail on a reset idle connection."""
         for endpoint in site.endpoints[1:]:
-            leaving = standins.announce(endpoint, "desk", state="draining")
-            site.store.put(f"servers/{endpoint.name}", leaving)
-        wait_for(lambda: "leaving=1" in site.entry.log(), "news of the leaving")
+            announcement = standins.make_announcement(
+                endpoint, "desk", state="draining"
+            )
+            site.store.put(f"servers/{endpoint.name}", announcement)
+        wait_for(
+            lambda: "leaving=1" in site.entry.log(), "log line of the draining endpoint"
+        )
         for _ in range(3):
             assert site.entry.call("GET", "/lookup/1")[0] == 200
         for _ in range(2):
             assert site.entry.call("POST", "/order/1")[0] == 200
-        ports = [one["port"] for one in site.requests()]
+        ports = [request["port"] for request in site.requests()]
         assert len(set(ports[:3])) == 1
         assert len(set(ports[2:])) == 3
 
 
 class TestRules:
-    def test_who_calls_is_named_by_the_key(self, site: Site) -> None:
+    def test_the_key_determines_the_tenant(self, site: Site) -> None:
         site.entry.call("GET", "/lookup/%41?b=%2F", X_Mintsaddle_Tenant="forged")
         (request,) = site.requests()
         assert request["X-Mintsaddle-Tenant"] == "north"
@@ -124,30 +136,35 @@
         assert site.requests() == []
 
     def test_a_deadline_is_kept(self, site: Site) -> None:
-        site.script(standins.stay_silent)
-        began_at = time.monotonic()
+        site.script(standins.never_respond)
+        started_at = time.monotonic()
         status, _, _ = site.entry.call(
             "POST", "/order/1", X_Mintsaddle_Deadline_Ms="400"
         )
         assert status == 504
-        assert 0.35 < time.monotonic() - began_at < 0.9
+        assert 0.35 < time.monotonic() - started_at < 0.9
 
 
 class TestPublished:
     def test_a_leaving_endpoint_gets_nothing_new(self, site: Site) -> None:
-        leaving = standins.announce(site.endpoints[0], "desk", state="draining")
-        site.store.put("servers/e-1", leaving)
-        wait_for(lambda: "leaving=1" in site.entry.log(), "news of the leaving")
+        announcement = standins.make_announcement(
+            site.endpoints[0], "desk", state="draining"
+        )
+        site.store.put("servers/e-1", announcement)
+        wait_for(
+            lambda: "leaving=1" in site.entry.log(), "log line of the draining endpoint"
+        )
         for _ in range(6):
             assert site.entry.call("GET", "/lookup/1")[0] == 200
         assert site.endpoints[0].requests == []
 
     def test_a_data_centre_that_is_out_gets_nothing_new(self, site: Site) -> None:
         site.store.put(
-            "servers/e-1", standins.announce(site.endpoints[0], "desk", zone="b")
+            "servers/e-1",
+            standins.make_announcement(site.endpoints[0], "desk", zone="b"),
         )
         site.store.put("op/evacuate/b", {})
-        wait_for(lambda: "out=b" in site.entry.log(), "news of the mark")
+        wait_for(lambda: "out=b" in site.entry.log(), "log line of the evacuation")
         for _ in range(6):
             site.entry.call("GET", "/lookup/1")
         assert site.endpoints[0].requests == []
@@ -161,7 +178,7 @@
             b'{"service":"desk","address":"nowhere","zone":"a","state":"ready"}',
         ],
     )
-    def test_garbage_names_no_endpoint_and_stops_nothing(
+    def test_invalid_items_add_no_endpoint_and_stop_nothing(
         self, site: Site, value: bytes
     ) -> None:
         site.store.put("servers/bad", value)
@@ -172,32 +189,34 @@
     def test_a_lost_history_is_read_again(self, site: Site) -> None:
         site.store.delete("servers/e-1")
         site.store.forget_history()
-        wait_for(lambda: "endpoints=1" in site.entry.log(), "news of the removal")
+        wait_for(lambda: "endpoints=1" in site.entry.log(), "log line of the removal")
 
     def test_service_goes_on_while_the_store_is_down(self, site: Site) -> None:
         site.store.is_down = True
-        wait_for(lambda: "Platform lost" in site.entry.log(), "loss of the store")
+        wait_for(
+            lambda: "Platform lost" in site.entry.log(), "log line of the lost store"
+        )
         assert site.entry.call("GET", "/lookup/1")[0] == 200
         site.store.is_down = False
-        wait_for(lambda: "Platform regained" in site.entry.log(), "its return")
+        wait_for(
+            lambda: "Platform regained" in site.entry.log(), "log line of the recovery"
+        )
 
-    def test_an_entry_that_the_store_turns_away_hears_from_a_peer(
-        self, site: Site
-    ) -> None:
-        """Guards against an old copy in one entry."""
-        away = standins.Store()
-        away.is_down = True
-        other = site.add_entry(away.address, [site.entry.control])
-        wait_for(other.is_ready, "entry that was told by a peer")
-        site.store.put("op/config", make_newer())
+    def test_an_entry_without_the_store_is_updated_by_a_peer(self, site: Site) -> None:
+        """Guards against an entry that keeps an outdated copy."""
+        unavailable_store = standins.Store()
+        unavailable_store.is_down = True
+        other = site.add_entry(unavailable_store.address, [site.entry.control])
+        wait_for(other.is_ready, "entry updated by a peer")
+        site.store.put("op/config", make_newer_configuration())
         wait_for(lambda: "version=2" in other.log(), "relayed table")
 
-    def test_an_entry_that_knows_no_table_promises_only_not_run(
+    def test_an_entry_without_a_table_refuses_requests_as_not_run(
         self, site: Site
     ) -> None:
-        away = standins.Store()
-        away.is_down = True
-        other = site.add_entry(away.address)
+        unavailable_store = standins.Store()
+        unavailable_store.is_down = True
+        other = site.add_entry(unavailable_store.address)
         wait_for(lambda: "Started" in other.log(), "start")
         status, headers, _ = other.call("GET", "/nowhere/1")
         assert status == 503
@@ -205,38 +224,38 @@
         assert not other.is_ready()
 
 
-def make_newer() -> dict[str, object]:
+def make_newer_configuration() -> dict[str, object]:
     return standins.make_configuration(version=2)
 
 
 def wait_for_table(entry: standins.Entry) -> None:
-    """Wait until an entry knows the newer table."""
+    """Wait until an entry has logged the newer table."""
     wait_for(lambda: "version=2" in entry.log(), "newer table")
 
 
-def reads(entry: standins.Entry) -> bool:
-    """Return whether an entry watches the store for others."""
+def is_reader(entry: standins.Entry) -> bool:
+    """Return whether an entry watches the store for its data centre."""
     lines = [line for line in entry.log().splitlines() if "is_reader" in line]
     return bool(lines) and "is_reader=True" in lines[-1]
 
 
-def wait_for_quiet(store: standins.Store) -> None:
-    """Wait until nobody has watched beside another one for a second."""
-    crowded_at = time.monotonic()
+def wait_for_single_watch(store: standins.Store) -> None:
+    """Wait until the store has had a single watch for one second."""
+    last_concurrent_at = time.monotonic()
 
-    def is_quiet() -> bool:
-        nonlocal crowded_at
-        if store.watching > 1:
-            crowded_at = time.monotonic()
-        return time.monotonic() - crowded_at > 1.0 and store.watching == 1
+    def is_single() -> bool:
+        nonlocal last_concurrent_at
+        if store.open_watches > 1:
+            last_concurrent_at = time.monotonic()
+        return time.monotonic() - last_concurrent_at > 1.0 and store.open_watches == 1
 
-    wait_for(is_quiet, "single watch")
+    wait_for(is_single, "single watch")
 
 
 class TestReaders:
     @pytest.fixture
     def entries(self, site: Site) -> list[standins.Entry]:
-        """Three entries, the reader of their data centre first."""
+        """Three entries; the first is the reader of their data centre."""
         seeds = [site.entry.control]
         entries = [
             site.entry,
@@ -245,31 +264,31 @@
         for entry in entries[1:]:
             wait_for(entry.is_ready, "ready entry")
 
-        # All have chosen whom to follow, and watches from before are over.
+        # Each entry has chosen its upstream, and earlier watches have ended.
         time.sleep(SETTLE_SECONDS)
-        wait_for_quiet(site.store)
-        reader, *followers = sorted(entries, key=reads, reverse=True)
-        assert reads(reader)
+        wait_for_single_watch(site.store)
+        reader, *followers = sorted(entries, key=is_reader, reverse=True)
+        assert is_reader(reader)
         return [reader, *followers]
 
     def test_one_entry_of_a_data_centre_reads(
         self, site: Site, entries: list[standins.Entry]
     ) -> None:
-        """Guards against a store call for each change and entry."""
-        site.store.put("op/config", make_newer())
+        """Guards against one store request per change and entry."""
+        site.store.put("op/config", make_newer_configuration())
         revision = site.store.revision
         for entry in entries:
             wait_for_table(entry)
-        assert site.store.told.count(revision) == 1
+        assert site.store.delivered_revisions.count(revision) == 1
 
-    def test_followers_of_a_frozen_reader_still_hear(
+    def test_followers_of_a_frozen_reader_still_get_changes(
         self, site: Site, entries: list[standins.Entry]
     ) -> None:
-        """Guards against followers that trust a silent reader."""
+        """Guards against followers that rely on an unresponsive reader."""
         reader, *followers = entries
         reader.process.send_signal(signal.SIGSTOP)
         try:
-            site.store.put("op/config", make_newer())
+            site.store.put("op/config", make_newer_configuration())
             for follower in followers:
                 wait_for_table(follower)
         finally:
@@ -277,8 +296,8 @@
 
 
 class TestReload:
-    def test_a_changed_file_is_read_again_and_cuts_nobody(self, site: Site) -> None:
-        """Guards against a signal that ends the process."""
+    def test_settings_are_reloaded_without_a_restart(self, site: Site) -> None:
+        """Guards against SIGHUP ending the process."""
         site.entry.change_settings("retry_slack = 90", "retry_slack = 45")
         site.entry.process.send_signal(signal.SIGHUP)
         wait_for(lambda: "Reloaded" in site.entry.log(), "reload")
@@ -290,8 +309,8 @@
 
 class TestSilentEndpoints:
     def test_a_lookup_goes_elsewhere_in_time(self, site: Site) -> None:
-        """Guards against a lookup that waits for a lost answer."""
-        site.script(standins.stay_silent)
+        """Guards against a lookup that waits for a lost response."""
+        site.script(standins.never_respond)
         status, _, _ = site.entry.call(
             "GET", "/lookup/1", X_Mintsaddle_Deadline_Ms="1200"
         )
@@ -313,7 +332,7 @@
             wait_for(entry.is_ready, "ready entry")
         return entries
 
-    def test_what_does_not_fit_goes_to_other_endpoints(
+    def test_requests_over_the_limit_go_to_other_endpoints(
         self, site: Site, entries: list[standins.Entry]
     ) -> None:
         limited = site.endpoints[0]
@@ -322,34 +341,36 @@
         assert set(statuses) == {200}
         assert len(limited.requests) <= 12
 
-    def test_all_entries_together_keep_the_limit_while_it_is_named(
+    def test_all_entries_together_keep_the_limit_while_it_is_sent(
         self, site: Site, entries: list[standins.Entry]
     ) -> None:
-        """Guards against entries that each send what one of them may."""
-        for gone in site.endpoints[1:]:
-            site.store.delete(f"servers/{gone.name}")
+        """Guards against entries that each use the whole limit."""
+        for removed in site.endpoints[1:]:
+            site.store.delete(f"servers/{removed.name}")
         for entry in entries:
             wait_for(partial(knows_one_endpoint, entry), "removals")
-        (desk, *_) = site.endpoints
-        desk.rate_limit = "4.0"
-        named_at = time.monotonic()
-        answers = []
-        while time.monotonic() < named_at + 6.0:
-            answers += [entry.call("GET", "/lookup/1") for entry in entries]
+        (endpoint, *_) = site.endpoints
+        endpoint.rate_limit = "4.0"
+        limited_at = time.monotonic()
+        responses = []
+        while time.monotonic() < limited_at + 6.0:
+            responses += [entry.call("GET", "/lookup/1") for entry in entries]
             time.sleep(0.02)
-        arrivals = [at for at in desk.arrivals if at > named_at + 1.0]
+        arrivals = [at for at in endpoint.arrivals if at > limited_at + 1.0]
         for first in arrivals:
             assert sum(first <= at < first + 4.0 for at in arrivals) <= 29
         assert len(arrivals) >= 4
-        refused = [headers for status, headers, _ in answers if status == 503]
+        refused = [headers for status, headers, _ in responses if status == 503]
         assert refused
         assert all(float(headers["Retry-After"]) > 0 for headers in refused)
-        desk.rate_limit = None
+        endpoint.rate_limit = None
 
-        def all_serve() -> bool:
-            return all(one.call("GET", "/lookup/1")[0] == 200 for one in entries * 4)
+        def all_succeed() -> bool:
+            return all(
+                entry.call("GET", "/lookup/1")[0] == 200 for entry in entries * 4
+            )
 
-        wait_for(all_serve, "end of the limit")
+        wait_for(all_succeed, "end of the limit")
 
 
 class TestMetrics:
@@ -362,15 +383,15 @@
 
 class TestSize:
     def test_an_idle_entry_has_few_threads(self, site: Site) -> None:
-        """Guards against a pool of threads in each of hundreds of entries."""
+        """Guards against a thread pool in each of hundreds of entries."""
         threads = Path(f"/proc/{site.entry.process.pid}/task")
         assert len(list(threads.iterdir())) < 20
 
 
 class TestStop:
-    def test_a_stop_cuts_nobody(self, site: Site) -> None:
-        """A counter's letter breaks off while an entry is replaced."""
-        site.script(standins.stay_silent)
+    def test_a_stop_drops_no_request(self, site: Site) -> None:
+        """Guards against responses cut off while an entry is replaced."""
+        site.script(standins.never_respond)
         waiting = site.entry.open("POST", "/order/1", X_Mintsaddle_Deadline_Ms="900")
         wait_for(lambda: len(site.requests()) == 1, "request at an endpoint")
         site.entry.terminate()
--- a/mintsaddle/platform/tests/test_isolation.py
+++ b/mintsaddle/platform/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""An entry whose data centre is cut off from all others."""
+"""An entry whose data centre can't reach any other."""
 
 import contextlib
 import json
@@ -12,25 +12,25 @@
 from mintsaddle.direct import _paths
 from mintsaddle.direct._gateway import Gateway
 from mintsaddle.platform.tests import standins
-from mintsaddle.platform.tests.test_taking_items import SETTINGS, take
+from mintsaddle.platform.tests.test_taking_items import SETTINGS, apply
 
-MOST_WAITING = 4
-"""Connections that fill a backlog of none, with some to spare."""
+BACKLOG_CONNECTIONS = 4
+"""More than enough connections to fill a backlog of 0."""
 
 
-def make_gateway(far_address: str, store: str) -> Gateway:
-    """Return what an entry in "a" knows of one endpoint in "b"."""
+def make_gateway(endpoint_address: str, store: str) -> Gateway:
+    """Return the gateway of an entry in "a" that knows an endpoint in "b"."""
     gateway = Gateway(SETTINGS._replace(store=store))
     announcement = {
         "service": "desk",
-        "address": far_address,
+        "address": endpoint_address,
         "zone": "b",
         "slots": 6,
         "state": "ready",
         "born": 5,
     }
     table = json.dumps(standins.make_configuration()).encode()
-    take(
+    apply(
         gateway,
         PublishedItem("op/config", 4, table),
         PublishedItem("servers/i-1", 5, json.dumps(announcement).encode()),
@@ -40,18 +40,18 @@
 
 @pytest.fixture
 def listener() -> Iterator[str]:
-    """The address of a VM that is there."""
+    """The address of a VM that accepts connections."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         yield f"127.0.0.1:{server.getsockname()[1]}"
 
 
 @pytest.fixture
 def silent(monkeypatch: pytest.MonkeyPatch) -> Iterator[str]:
-    """An address from which nothing comes back: its backlog is full."""
+    """An address that answers no connection attempt: its backlog is full."""
     monkeypatch.setattr(_paths, "CHECK_SECONDS", 0.05)
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=0))
-        for _ in range(MOST_WAITING):
+        for _ in range(BACKLOG_CONNECTIONS):
             waiting = stack.enter_context(socket.socket())
             waiting.setblocking(False)
             waiting.connect_ex(server.getsockname())
@@ -64,23 +64,23 @@
 
 
 class TestIsolation:
-    def test_callers_are_sent_away_while_nothing_is_reached(self, silent: str) -> None:
-        """Guards against callers that wait behind a cut for nothing."""
+    def test_an_entry_is_cut_off_while_it_reaches_nothing(self, silent: str) -> None:
+        """Guards against callers that wait in vain at an isolated entry."""
         gateway = make_gateway(silent, silent)
-        found: list[bool] = []
-        gateway.reach.on_change(lambda: found.append(True))
+        notified: list[bool] = []
+        gateway.reach.on_change(lambda: notified.append(True))
         assert not gateway.is_cut_off()
         check(gateway)
         assert gateway.is_cut_off()
-        assert found
+        assert notified
         assert 0 < gateway.reach.failover_seconds_left <= 3.0
         gateway.reach.record("b", received=True)
         assert not gateway.is_cut_off()
 
-    def test_an_entry_that_reaches_the_platform_stays(
+    def test_an_entry_that_reaches_the_platform_is_not_cut_off(
         self, silent: str, listener: str
     ) -> None:
-        """Guards against refusals by the last data centre that lives."""
+        """Guards against refusals by the only data centre that still works."""
         gateway = make_gateway(silent, listener)
         check(gateway)
         assert gateway.reach.unreachable == ["b"]
--- a/mintsaddle/platform/tests/test_restored_store.py
+++ b/mintsaddle/platform/tests/test_restored_store.py
@@ -1,7 +1,7 @@
-"""The platform's store comes back from a copy that is some seconds old.
+"""The platform's store is restored from a copy that is some seconds old.
 
-What was written since the copy is lost and is written again, and revisions
-are given out again.
+Writes since the copy are lost and have to be repeated, and their revisions
+are reused.
 """
 
 from collections.abc import Iterator
@@ -21,90 +21,97 @@
     yield from standins.run_site(tmp_path)
 
 
-def lines_with(entry: standins.Entry, words: str) -> list[str]:
+def log_lines_with(entry: standins.Entry, words: str) -> list[str]:
     return [line for line in entry.log().splitlines() if words in line]
 
 
 class TestLog:
-    def test_a_restored_store_is_told_with_era_and_revisions(self, site: Site) -> None:
-        """Guards against a log that can't tell this from an outage."""
+    def test_a_restore_is_logged_with_eras_and_revisions(self, site: Site) -> None:
+        """Guards against a log in which a restore looks like an outage."""
         copy = site.store.copy()
         site.store.put("op/config", standins.make_configuration(version=2))
         wait_for(lambda: "version=2" in site.entry.log(), "newer table")
         site.store.restore(copy)
-        wait_for(lambda: "Store restored" in site.entry.log(), "line about the era")
-        (restored,) = lines_with(site.entry, "Store restored")
+        wait_for(
+            lambda: "Store restored" in site.entry.log(), "log line of the restore"
+        )
+        (restored,) = log_lines_with(site.entry, "Store restored")
         assert f"position_before={copy.revision + 1} era_before=1" in restored
         assert f"position={copy.revision} era=2" in restored
-        wait_for(lambda: "era=2 items" in site.entry.log(), "line about the copy")
+        wait_for(
+            lambda: "era=2 items" in site.entry.log(), "log line of the restored copy"
+        )
 
     def test_calls_to_the_store_are_counted_by_their_result(self, site: Site) -> None:
         site.store.delete("servers/e-1")
         site.store.forget_history()
-        wait_for(lambda: "History gone" in site.entry.log(), "lost history")
+        wait_for(
+            lambda: "History gone" in site.entry.log(),
+            "log line of the missing history",
+        )
         counted = site.entry.fetch_metrics()
         assert "mintsaddle_store_history-gone 1" in counted
         assert "mintsaddle_store_answered" in counted
 
 
-def knows(entry: standins.Entry, version: int) -> bool:
+def has_version(entry: standins.Entry, version: int) -> bool:
     return f"version={version} " in entry.log()
 
 
-def sees_one_leave(entry: standins.Entry) -> bool:
-    return "leaving=1 " in lines_with(entry, "Directory changed")[-1]
+def sees_one_draining(entry: standins.Entry) -> bool:
+    return "leaving=1 " in log_lines_with(entry, "Directory changed")[-1]
 
 
-def assert_passed_over(site: Site) -> None:
-    """Check that callers are served and the first endpoint gets nothing."""
+def assert_first_endpoint_unused(site: Site) -> None:
+    """Check that calls succeed without requests to the first endpoint."""
     for _ in range(6):
         assert site.entry.call("GET", "/lookup/1")[0] == 200
     assert site.endpoints[0].requests == []
 
 
 def make_keys(version: int, *keys: str) -> dict[str, object]:
-    """Return a configuration with these keys of its only workspace."""
+    """Return a configuration whose only workspace has these API keys."""
     tenants = [{"name": "north", "api_keys": list(keys)}]
     return standins.make_configuration(version, tenants=tenants)
 
 
-def leave(site: Site, number: int = 0) -> None:
-    """Let an endpoint say that it leaves."""
+def drain(site: Site, number: int = 0) -> None:
+    """Publish an endpoint as draining."""
     endpoint = site.endpoints[number]
-    leaving = standins.announce(endpoint, "desk", state="draining")
-    site.store.put(f"servers/{endpoint.name}", leaving)
+    announcement = standins.make_announcement(endpoint, "desk", state="draining")
+    site.store.put(f"servers/{endpoint.name}", announcement)
 
 
 def restore(site: Site, copy: standins.StoreCopy) -> None:
-    """Let the store go back to a copy.
+    """Restore the store from a copy.
 
-    Entries notice its absence only if it names no era: then there is no other
-    sign of it.
+    A store that sends no era is down until entries notice it: an outage is
+    then the only sign of a restore.
     """
-    if site.store.names_era:
+    if site.store.sends_era:
         site.store.restore(copy)
         return
     site.store.is_down = True
-    wait_for(lambda: "Platform lost" in site.entry.log(), "loss of the store")
+    wait_for(lambda: "Platform lost" in site.entry.log(), "log line of the lost store")
     site.store.restore(copy)
     site.store.is_down = False
 
 
 def publish(site: Site, entry: standins.Entry, version: int) -> None:
-    """Publish a configuration and wait until an entry has it."""
+    """Publish a configuration and wait until an entry logs it."""
     site.store.put("op/config", make_keys(version, "good-key", "old-key"))
     wait_for(lambda: f"version={version} " in entry.log(), "newer table")
 
 
 class TestChangesAfterARestore:
-    """What is written after the store is back counts as before."""
+    """Changes written after a restore take effect as usual."""
 
-    @pytest.fixture(params=[True, False], ids=["era named", "era unnamed"])
+    @pytest.fixture(params=[True, False], ids=["era sent", "era not sent"])
     def site(self, request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Site]:
-        yield from standins.run_site(tmp_path, names_era=request.param)
+        yield from standins.run_site(tmp_path, sends_era=request.param)
 
     def test_a_revoked_key_is_refused(self, site: Site) -> None:
-        """Guards against a configuration whose revision was known before."""
+        """Guards against ignoring a configuration with a reused revision."""
         copy = site.store.copy()
         publish(site, site.entry, 2)
         publish(site, site.entry, 3)
@@ -114,64 +121,70 @@
         assert site.entry.call("GET", "/lookup/1", Api_Key="old-key")[0] == 401
 
     def test_an_endpoint_that_leaves_gets_nothing(self, site: Site) -> None:
-        """Guards against an announcement whose revision was known before."""
+        """Guards against ignoring an announcement with a reused revision."""
         copy = site.store.copy()
-        busy = standins.announce(site.endpoints[0], "desk", slots=5)
-        site.store.put("servers/e-1", busy)
+        announcement = standins.make_announcement(site.endpoints[0], "desk", slots=5)
+        site.store.put("servers/e-1", announcement)
         publish(site, site.entry, 2)
         restore(site, copy)
-        leave(site)
-        wait_for(lambda: "leaving=1" in site.entry.log(), "news of the leaving")
-        assert_passed_over(site)
-
-    def test_a_follower_hears_from_its_upstream(self, site: Site) -> None:
-        """Guards against entries that order a relayed copy by revision."""
-        away = standins.Store()
-        away.is_down = True
-        follower = site.add_entry(away.address, [site.entry.control])
-        wait_for(follower.is_ready, "entry that was told by a peer")
+        drain(site)
+        wait_for(
+            lambda: "leaving=1" in site.entry.log(), "log line of the draining endpoint"
+        )
+        assert_first_endpoint_unused(site)
+
+    def test_a_follower_is_updated_by_its_upstream(self, site: Site) -> None:
+        """Guards against comparing relayed copies by revision alone."""
+        unavailable_store = standins.Store()
+        unavailable_store.is_down = True
+        follower = site.add_entry(unavailable_store.address, [site.entry.control])
+        wait_for(follower.is_ready, "entry updated by a peer")
         copy = site.store.copy()
         publish(site, follower, 2)
         publish(site, follower, 3)
         restore(site, copy)
-        leave(site)
+        drain(site)
         site.store.put("op/config", make_keys(4, "good-key"))
         wait_for(lambda: "version=4 " in follower.log(), "newer table")
-        wait_for(lambda: "leaving=1" in follower.log(), "news of the leaving")
+        wait_for(
+            lambda: "leaving=1" in follower.log(), "log line of the draining endpoint"
+        )
 
 
-class TestRevisionsGivenOutAgain:
-    def test_no_change_is_passed_over(self, site: Site) -> None:
-        """Guards against a watch that goes on past what it never told."""
+class TestReusedRevisions:
+    def test_no_change_is_skipped(self, site: Site) -> None:
+        """Guards against a watch that resumes after unseen events."""
         copy = site.store.copy()
         publish(site, site.entry, 2)
         publish(site, site.entry, 3)
         with site.store.changed:
             site.store.restore(copy)
-            leave(site)
+            drain(site)
             site.store.put("op/config", make_keys(4, "good-key"))
             site.store.put("op/config", make_keys(5, "good-key"))
         wait_for(lambda: "version=5 " in site.entry.log(), "newer table")
-        wait_for(lambda: "leaving=1" in site.entry.log(), "news of the leaving")
+        wait_for(
+            lambda: "leaving=1" in site.entry.log(), "log line of the draining endpoint"
+        )
 
 
 class TestCalls:
-    def test_a_restore_costs_a_reading_and_no_loop(self, site: Site) -> None:
-        """Guards against a watch refused and a reading ignored by turns."""
+    def test_a_restore_causes_no_loop_of_reads(self, site: Site) -> None:
+        """Guards against a loop of rejected watches and ignored reads."""
         copy = site.store.copy()
         for version in (2, 3, 4):
             publish(site, site.entry, version)
-        readings = site.store.readings
+        full_reads = site.store.full_reads
         site.store.restore(copy)
         for version in (5, 6):
             publish(site, site.entry, version)
-        assert site.store.readings - readings <= 2
-        assert site.store.gone <= 1
+        assert site.store.full_reads - full_reads <= 2
+        assert site.store.history_gone_responses <= 1
 
 
 class TestFleet:
     def test_all_entries_follow_one_restore_after_another(self, site: Site) -> None:
-        """Guards against relays that bring an earlier copy back."""
+        """Guards against relays that replace a copy by an earlier one."""
         seeds = [site.entry.control]
         others = [site.add_entry(site.store.address, seeds) for _ in "12"]
         entries = [site.entry, *others]
@@ -183,60 +196,73 @@
             for entry in entries:
                 publish(site, entry, version + 1)
             site.store.restore(copy)
-            leave(site, number=0)
+            drain(site, number=0)
             site.store.put("op/config", make_keys(version + 2, "good-key"))
             for entry in entries:
-                wait_for(partial(knows, entry, version + 2), "newer table")
-                wait_for(partial(sees_one_leave, entry), "news of the leaving")
+                wait_for(partial(has_version, entry, version + 2), "newer table")
+                wait_for(
+                    partial(sees_one_draining, entry),
+                    "log line of the draining endpoint",
+                )
 
 
-class TestWhatTheCopyLacks:
-    """What was known before the restore holds until it is written again."""
+class TestChangesMissingInTheCopy:
+    """State from before a restore is kept until it is written again."""
 
     def test_an_endpoint_that_has_left_gets_nothing(self, site: Site) -> None:
-        """Guards against a copy in which an endpoint doesn't leave yet."""
+        """Guards against using a copy from before the endpoint drained."""
         copy = site.store.copy()
-        leave(site)
-        wait_for(lambda: "leaving=1" in site.entry.log(), "news of the leaving")
+        drain(site)
+        wait_for(
+            lambda: "leaving=1" in site.entry.log(), "log line of the draining endpoint"
+        )
         site.store.restore(copy)
-        wait_for(lambda: "Store restored" in site.entry.log(), "restored copy")
-        assert_passed_over(site)
+        wait_for(
+            lambda: "Store restored" in site.entry.log(), "log line of the restore"
+        )
+        assert_first_endpoint_unused(site)
 
     def test_an_endpoint_that_is_gone_gets_nothing(self, site: Site) -> None:
         """Guards against a copy that still lists a removed endpoint."""
         copy = site.store.copy()
         site.store.delete("servers/e-1")
-        wait_for(lambda: "endpoints=1 " in site.entry.log(), "news of the removal")
+        wait_for(lambda: "endpoints=1 " in site.entry.log(), "log line of the removal")
         site.store.restore(copy)
-        wait_for(lambda: "Store restored" in site.entry.log(), "restored copy")
-        assert_passed_over(site)
+        wait_for(
+            lambda: "Store restored" in site.entry.log(), "log line of the restore"
+        )
+        assert_first_endpoint_unused(site)
 
     def test_a_data_centre_that_is_out_gets_nothing(self, site: Site) -> None:
-        """Guards against a copy that is older than an evacuation."""
-        elsewhere = standins.announce(site.endpoints[0], "desk", zone="b")
-        site.store.put("servers/e-1", elsewhere)
+        """Guards against using a copy from before an evacuation."""
+        announcement = standins.make_announcement(site.endpoints[0], "desk", zone="b")
+        site.store.put("servers/e-1", announcement)
         copy = site.store.copy()
         site.store.put("op/evacuate/b", {})
-        wait_for(lambda: "out=b" in site.entry.log(), "news of the mark")
+        wait_for(lambda: "out=b" in site.entry.log(), "log line of the evacuation")
         site.store.restore(copy)
-        wait_for(lambda: "Store restored" in site.entry.log(), "restored copy")
-        assert_passed_over(site)
+        wait_for(
+            lambda: "Store restored" in site.entry.log(), "log line of the restore"
+        )
+        assert_first_endpoint_unused(site)
         site.store.put("op/evacuate/b", {})
 
     def test_an_endpoint_that_the_copy_lacks_serves_on(self, site: Site) -> None:
-        """Guards against refusals until endpoints have announced anew."""
+        """Guards against refusals until endpoints are announced again."""
         copy = site.store.copy()
         copy.items.pop("servers/e-1")
         copy.items.pop("servers/e-2")
         publish(site, site.entry, 2)
         site.store.restore(copy)
-        wait_for(lambda: "Store restored" in site.entry.log(), "restored copy")
+        wait_for(
+            lambda: "Store restored" in site.entry.log(), "log line of the restore"
+        )
         assert site.entry.call("GET", "/lookup/1")[0] == 200
 
 
 class TestPages:
-    def test_pages_from_before_and_after_are_read_again(self) -> None:
-        """Guards against a copy that is joined of two histories."""
+    def test_pages_from_before_and_after_a_restore_are_read_again(self) -> None:
+        """Guards against a copy that mixes pages of two eras."""
         store = standins.Store()
         for number in range(4):
             store.put(f"servers/e-{number}", {})
@@ -251,10 +277,10 @@
         assert client.read_all("") == Failure(StoreProblem.HISTORY_GONE)
         assert len(client.read_all("").unwrap().items) == 4
 
-    def test_an_old_reading_leads_no_further_than_its_items(self) -> None:
-        """Guards against changes between old items and a newer revision."""
+    def test_a_stale_read_has_the_revision_of_its_items(self) -> None:
+        """Guards against missing the changes after stale items."""
         store = standins.Store()
         store.put("servers/e-1", {})
         store.revision += 5
-        news = StoreClient(store.address).read_all("", allow_stale=True).unwrap()
-        assert news.revision == news.items[0].revision
+        reading = StoreClient(store.address).read_all("", allow_stale=True).unwrap()
+        assert reading.revision == reading.items[0].revision
--- a/mintsaddle/platform/tests/test_taking_items.py
+++ b/mintsaddle/platform/tests/test_taking_items.py
@@ -1,4 +1,4 @@
-"""Taking published items over."""
+"""Applying published items."""
 
 import json
 import zlib
@@ -46,11 +46,11 @@
 @pytest.fixture
 def gateway() -> Gateway:
     gateway = Gateway(SETTINGS)
-    take(gateway, PublishedItem("servers/i-1", 5, ANNOUNCED))
+    apply(gateway, PublishedItem("servers/i-1", 5, ANNOUNCED))
     return gateway
 
 
-def take(gateway: Gateway, *items: PublishedItem) -> None:
+def apply(gateway: Gateway, *items: PublishedItem) -> None:
     gateway.apply_items(
         items,
         Position(0, max(item.revision for item in items)),
@@ -60,14 +60,14 @@
     )
 
 
-class TestRests:
+class TestRecoveredGroups:
     def test_ranks_of_a_group_that_is_back_get_work_at_once(
         self, gateway: Gateway
     ) -> None:
-        """Guards against ranks avoided for what their group's loss broke."""
+        """Guards against avoiding ranks whose failures their group caused."""
         place = {"name": "g", "epoch": 1, "rank": 0, "state": "open"}
         value = {**json.loads(ANNOUNCED), "group": place, "size": 2}
-        take(gateway, PublishedItem("servers/i-2", 6, json.dumps(value).encode()))
+        apply(gateway, PublishedItem("servers/i-2", 6, json.dumps(value).encode()))
         rank = gateway.directory.endpoints["i-2"].place
         assert rank is not None
         for _ in range(4):
@@ -78,24 +78,24 @@
 
 
 class TestRemovals:
-    def test_a_removal_after_a_long_quiet_watch_counts_at_once(
+    def test_a_removal_after_a_long_watch_applies_at_once(
         self, gateway: Gateway
     ) -> None:
-        """Guards against a quiet watch taken for an absence."""
+        """Guards against taking a watch without events for an outage."""
         replica = gateway.replica
         assert replica.lapse_until == 0.0
 
-        take(gateway, PublishedItem("servers/i-1", 6, None))
+        apply(gateway, PublishedItem("servers/i-1", 6, None))
 
         assert "i-1" not in gateway.directory.endpoints
 
-    def test_a_lapse_while_the_platform_was_away_gets_its_grace(
+    def test_a_removal_after_an_outage_gets_a_grace_period(
         self, gateway: Gateway
     ) -> None:
         gateway.record_platform_lost()
         gateway.record_platform_recovered()
 
-        take(gateway, PublishedItem("servers/i-1", 6, None))
+        apply(gateway, PublishedItem("servers/i-1", 6, None))
 
         assert "i-1" in gateway.directory.endpoints
         assert "i-1" in gateway.directory.lapsed
@@ -103,8 +103,8 @@
 
 class TestOtherUsers:
     def test_items_of_others_are_not_kept(self, gateway: Gateway) -> None:
-        """Another system writes to the store, and entries' memory fills up."""
-        take(gateway, PublishedItem("others/1", 6, b"x" * 1000))
+        """Guards against memory use by items that other systems write."""
+        apply(gateway, PublishedItem("others/1", 6, b"x" * 1000))
         assert [item.key for item in gateway.replica.changes_since(Position())] == [
             "servers/i-1"
         ]
@@ -115,23 +115,21 @@
     def test_each_lost_and_regained_group_is_logged_once(
         self, gateway: Gateway, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """Guards against a lost group without a line at its end."""
+        """Guards against a lost group whose recovery isn't logged."""
         caplog.set_level("INFO")
         gateway.record_group_refusal("g", 1, "i-7")
         gateway.record_group_refusal("g", 1, "i-7")
         gateway.record_group("g", 2, True)
         gateway.record_group("g", 2, True)
-        told = [line for line in caplog.messages if "Group" in line]
-        assert len(told) == 2
-        assert "at_fault=i-7" in told[0]
-        assert "Group regained group=g epoch=2" in told[1]
+        lines = [line for line in caplog.messages if "Group" in line]
+        assert len(lines) == 2
+        assert "at_fault=i-7" in lines[0]
+        assert "Group regained group=g epoch=2" in lines[1]
 
 
 class TestRelays:
-    def test_a_value_whose_revision_is_given_out_again_is_relayed(
-        self, gateway: Gateway
-    ) -> None:
-        """Guards against a compressed value kept from before a restore."""
+    def test_a_value_with_a_reused_revision_is_relayed(self, gateway: Gateway) -> None:
+        """Guards against a compressed value cached before a restore."""
         relay = ReplicaRelay(gateway)
         for era, word in enumerate((b"old", b"new")):
             item = PublishedItem("op/config", 7, word * COMPRESSION_THRESHOLD_BYTES)
@@ -142,6 +140,6 @@
                 confirmed_at=gateway.now(),
                 source="test",
             )
-            news, _ = relay.make_update(pb.EntryHello(), Position())
-        (told,) = [one for one in news.items if one.key == "op/config"]
-        assert zlib.decompress(told.value).startswith(b"new")
+            update, _ = relay.make_update(pb.EntryHello(), Position())
+        (relayed,) = [sent for sent in update.items if sent.key == "op/config"]
+        assert zlib.decompress(relayed.value).startswith(b"new")
--- a/mintsaddle/platform/tests/test_translation.py
+++ b/mintsaddle/platform/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""The platform's spelling, decoded into the product's types and back."""
+"""Translation between the platform's formats and the product's types."""
 
 import json
 import re
@@ -39,7 +39,7 @@
 
 
 class TestBoundary:
-    def test_the_platforms_names_stay_in_its_folder(self) -> None:
+    def test_the_platforms_names_stay_in_its_package(self) -> None:
         outside = [
             str(path)
             for path in PACKAGE.rglob("*.py")
@@ -60,7 +60,7 @@
 
 
 class TestTable:
-    def test_kinds_say_what_may_be_repeated(self) -> None:
+    def test_a_route_kind_determines_what_may_be_repeated(self) -> None:
         table = decode_table(json.dumps(make_configuration()).encode()).unwrap()
         routes = {route.name: route for route in table.hosts["desk.example"]}
         assert routes["lookup"].repeat is Repeat.IDEMPOTENT
@@ -76,7 +76,7 @@
         assert names["lookup"].repeat is Repeat.ONCE
 
     @pytest.mark.parametrize("value", [b"", b"[]", b'{"version": 1}', b"\xff"])
-    def test_garbage_is_refused(self, value: bytes) -> None:
+    def test_invalid_tables_are_refused(self, value: bytes) -> None:
         assert isinstance(decode_table(value), Failure)
 
 
@@ -85,23 +85,25 @@
         raw = None if value is None else json.dumps(value).encode()
         return list(decode_items([PublishedItem(key, 1, raw)], now=100.0))
 
-    def announcement(self, **other: object) -> dict[str, object]:
+    def announcement(self, **overrides: object) -> dict[str, object]:
         return {
             "service": "llm",
             "address": "10.0.0.1:80",
             "zone": "a",
             "state": "ready",
             "slots": 6,
-            **other,
+            **overrides,
         }
 
     def test_an_announcement_names_an_endpoint_and_its_rank(self) -> None:
         group = {"name": "g", "epoch": 2, "rank": 3, "state": "broken"}
         value = self.announcement(cold_left_ms=500, group=group, size=4)
-        (fact,) = self.decode("servers/i-1", value)
-        assert isinstance(fact, EndpointPublished)
-        assert fact.incarnation.cold_until == 100.5
-        assert fact.incarnation.place == RankAssignment("llm/g", 2, 3, 4, is_open=False)
+        (change,) = self.decode("servers/i-1", value)
+        assert isinstance(change, EndpointPublished)
+        assert change.incarnation.cold_until == 100.5
+        assert change.incarnation.place == RankAssignment(
+            "llm/g", 2, 3, 4, is_open=False
+        )
 
     @pytest.mark.parametrize(
         "change",
@@ -113,11 +115,11 @@
             {"zone": None},
         ],
     )
-    def test_an_announcement_of_another_form_names_none(
+    def test_an_invalid_announcement_removes_the_endpoint(
         self, change: dict[str, object]
     ) -> None:
-        facts = self.decode("servers/i-1", self.announcement(**change))
-        assert facts == [EndpointRemoved("i-1")]
+        changes = self.decode("servers/i-1", self.announcement(**change))
+        assert changes == [EndpointRemoved("i-1")]
 
     def test_data_centres_go_out_and_come_back(self) -> None:
         assert self.decode("op/evacuate/a", {}) == [DataCentreEvacuated("a")]
@@ -125,7 +127,7 @@
 
 
 class TestHeads:
-    def test_only_what_concerns_the_endpoint_is_passed_on(self) -> None:
+    def test_only_headers_for_the_endpoint_are_passed_on(self) -> None:
         environ = {
             "HTTP_HOST": "desk.example",
             "HTTP_API_KEY": "secret",
@@ -147,7 +149,7 @@
             "Last-Event-Id": "12",
         }
 
-    def test_a_head_without_anything_is_read(self) -> None:
+    def test_an_empty_head_is_read(self) -> None:
         head = read_request_head({})
         assert (head.request_id, head.key) == ("", "")
         assert (head.seconds_left, head.last_event) == (None, None)
@@ -160,7 +162,7 @@
             (Outcome.IN_DOUBT, Reason.CUT_OFF, "502"),
         ],
     )
-    def test_only_what_did_not_run_is_said_so(
+    def test_only_requests_that_did_not_run_get_retry_after(
         self, outcome: Outcome, reason: Reason, status: str
     ) -> None:
         line, headers = make_refusal(outcome, reason, "r", 0.5)
@@ -202,7 +204,7 @@
 
 class TestReports:
     def test_a_slow_engine_is_known_by_its_report(self) -> None:
-        """Streams of a whole group come late because one engine is slow."""
+        """Guards against a slow engine that delays its group's streams."""
         values = {
             "group": {"name": "g", "epoch": 2, "rank": 3, "state": "open"},
             "step": 7,
