--- a/benchmarks/datacentre_move.py
+++ b/benchmarks/datacentre_move.py
@@ -254,7 +254,7 @@
         refused=refused,
         lost=sum(visit.outcome is None for visit in site.visits),
         falls=sum(engine.falls for engine in site.engines.values()),
-        over_limit=sum(run.held > run.bears for run in site.world.executions),
+        over_limit=sum(run.held > run.capacity for run in site.world.executions),
         p50=percentile(first, 50),
         p95=percentile(first, 95),
         p99=percentile(first, 99),
--- a/benchmarks/move_site.py
+++ b/benchmarks/move_site.py
@@ -69,7 +69,7 @@
 
     falls = 0
 
-    def chunks_of(self, work: str) -> int:
+    def count_chunks(self, work: str) -> int:
         """Return a length that only depends on the request."""
         rng = random.Random(stable_hash(work.partition("-")[0]))
         return max(1, round(rng.lognormvariate(math.log(MEAN_CHUNKS) - 0.18, 0.6)))
@@ -91,7 +91,7 @@
     ) -> None:
         """Take a request, or fall over under too many."""
         super().run(run, on_chunk, on_end, order)  # type: ignore[arg-type]
-        if self.held > self.bears:
+        if self.held > self.capacity:
             self.falls += 1
             self.world.after(0.0, self.die)
             self.world.after(_RESTART, self.start)
@@ -206,7 +206,7 @@
         self.world.after(0.1, self._watch_limits)
         now = self.world.now - START - SETTLED
         for name, engine in self.engines.items():
-            self.limits.append((now, name, engine.held, engine.bears))
+            self.limits.append((now, name, engine.held, engine.capacity))
 
     def _schedule_callers(self, begin: float) -> None:
         for workspace in (*LARGE, *SMALL):
@@ -290,7 +290,7 @@
             Visit(
                 self._workspace if self._service == "letters" else "orders",
                 self._came - begin,
-                None if call.first_at is None else call.first_at - begin,
+                None if call.first_chunk_at is None else call.first_chunk_at - begin,
                 finish.outcome if finish else None,
                 self._tries,
                 call.longest_gap,
--- a/fakes/model/__init__.py
+++ b/fakes/model/__init__.py
@@ -1,8 +1,8 @@
-"""A small model: the product's decisions on virtual time, with fake I/O.
+"""A discrete-event model of the whole system: real decisions, fake I/O.
 
-It drives the same decision code as the daemons, brings about faults at each
-step of a watched request, and an oracle compares what the fake engines ran
-with what each caller was told.
+It runs the same decision code as the daemons on virtual time and injects
+faults at each step of one watched request. An oracle then compares what the
+fake engines executed with the answers that each caller received.
 """
 
 from fakes.model._faults import FAULTS, PLANNED, STEPS
--- a/fakes/model/_callers.py
+++ b/fakes/model/_callers.py
@@ -1,4 +1,4 @@
-"""Callers: they hold keys, come back when told to, and remember every word."""
+"""Callers: they keep their keys, retry as advised and record every answer."""
 
 import enum
 from collections.abc import Callable
@@ -9,25 +9,32 @@
 from mintsaddle.decisions.calls import CallRequest, FinishCall
 from mintsaddle.values import OrderKey, Outcome, parse_key
 
-TIMEOUT = 4.0
-"""Seconds that a caller gives each call."""
+CALL_TIMEOUT_SECONDS = 4.0
+"""Time from the start of a call to its deadline."""
 
-_COME_BACK = 0.5
-_MOST_DOUBTS = 2
-_DATE_SHIFT = 80
+_RETRY_SECONDS = 0.5
+_MAX_IN_DOUBT_ANSWERS = 2
+_TIMESTAMP_SHIFT = 80
 
 
-class Kind(enum.Enum):
-    """What a caller asks for, and whose key it uses."""
+class RequestKind(enum.Enum):
+    """The request that a caller makes, and who generates its key."""
 
     STREAM = "stream"
-    BROUGHT = "brought"
+    """A streamed answer, without a key."""
+
+    SUPPLIED = "brought"
+    """An order with a key that the caller generates."""
+
     ISSUED = "issued"
+    """An order with a key that an entry issues before the call."""
+
     DRAWN = "drawn"
+    """An order without a key; the entry issues one during the call."""
 
 
-class Told(NamedTuple):
-    """One word that a caller was told."""
+class Answer(NamedTuple):
+    """What a caller learned at the end of a call."""
 
     caller: str
     call: str
@@ -35,7 +42,7 @@
 
     key: str
     outcome: Outcome | None
-    """None if the entry died before its word."""
+    """None if the entry crashed before it answered."""
 
     chunks: tuple[bytes, ...]
     at: float
@@ -43,68 +50,68 @@
 
 
 class Caller:
-    """One caller with one thing to get done."""
+    """A caller that retries one request until it is done or it gives up."""
 
     def __init__(
         self,
         world: World,
         name: str,
-        kind: Kind,
+        kind: RequestKind,
         entries: list[EntryDaemon],
-        until: float,
+        stop_at: float,
         watched: bool = False,
     ) -> None:
         self.world = world
         self.name = name
         self.kind = kind
-        self.told: list[Told] = []
+        self.answers: list[Answer] = []
         self.keys: set[str] = set()
         self.calls: list[tuple[str, float]] = []
-        self.over = False
+        self.done = False
         self.gave_up = False
         self._entries = entries
-        self._until = until
+        self._stop_at = stop_at
         self._watched = watched
         self._key: OrderKey | None = None
-        self._turn = 0
-        self._doubts = 0
+        self._entry_index = 0
+        self._in_doubt_count = 0
         self._call: EntryCallModel | None = None
 
     def start(self) -> None:
-        """Make a call by the entry whose turn it is."""
-        if self.over or self.world.now >= self._until:
+        """Call the next entry, or retry later if it is unavailable."""
+        if self.done or self.world.now >= self._stop_at:
             return
-        entry = self._entries[self._turn % len(self._entries)]
+        entry = self._entries[self._entry_index % len(self._entries)]
         if not entry.alive or entry.frozen or getattr(entry, "leaving", False):
-            self._come_back(_COME_BACK, other_entry=True)
+            self._retry_later(_RETRY_SECONDS, other_entry=True)
             return
         entry.when_awake(lambda: self._make_call(entry))
 
-    def impatient(self) -> None:
-        """Hang up and come by another entry with the same key."""
+    def retry_by_another_entry(self) -> None:
+        """Disconnect and call another entry with the same key."""
         call = self._call
-        if call is not None and not self.over:
+        if call is not None and not self.done:
             self._call = None
-            call.hang_up()
-            self._turn += 1
-            if self.kind is Kind.DRAWN:
-                # It has no key to ask by; a second order would be a new one.
-                self.over = True
+            call.disconnect()
+            self._entry_index += 1
+            if self.kind is RequestKind.DRAWN:
+                # Without a key, a second call would place a new order.
+                self.done = True
                 self.gave_up = True
             self.start()
 
     def _make_call(self, entry: EntryDaemon) -> None:
         fleet = entry.configuration.fleet
         if fleet is None or not entry.is_serving():
-            self._come_back(_COME_BACK, other_entry=True)
+            self._retry_later(_RETRY_SECONDS, other_entry=True)
             return
-        if not self._have_key(entry):
-            self._come_back(_COME_BACK, other_entry=True)
+        if not self._prepare_key(entry):
+            self._retry_later(_RETRY_SECONDS, other_entry=True)
             return
-        service = "letters" if self.kind is Kind.STREAM else "redirections"
+        service = "letters" if self.kind is RequestKind.STREAM else "redirections"
         call_id = f"{self.name}-{len(self.calls)}"
-        deadline = entry.now() + TIMEOUT
-        self.calls.append((call_id, self.world.now + TIMEOUT))
+        deadline = entry.now() + CALL_TIMEOUT_SECONDS
+        self.calls.append((call_id, self.world.now + CALL_TIMEOUT_SECONDS))
         request = CallRequest(
             call_id,
             fleet.services[service],
@@ -114,42 +121,42 @@
             key=self._key,
         )
         call = EntryCallModel(
-            entry, request, call_id, self._watched, self._make_ear(call_id)
+            entry, request, call_id, self._watched, self._make_finish_handler(call_id)
         )
         self._call = call
         call.start()
 
-    def _have_key(self, entry: EntryDaemon) -> bool:
+    def _prepare_key(self, entry: EntryDaemon) -> bool:
         if self._key is None:
-            if self.kind is Kind.BROUGHT:
-                self._key = self._draw()
-            elif self.kind is Kind.ISSUED:
-                self._key = entry.issue("redirections")
+            if self.kind is RequestKind.SUPPLIED:
+                self._key = self._generate_key()
+            elif self.kind is RequestKind.ISSUED:
+                self._key = entry.issue_key("redirections")
                 if self._key is None:
                     return False
         if self._key is not None:
             self.keys.add(self._key.text)
         return True
 
-    def _draw(self) -> OrderKey:
-        """Draw a UUIDv7 as a caller's library does."""
+    def _generate_key(self) -> OrderKey:
+        """Generate a UUIDv7, as a caller's library does."""
         milliseconds = int(self.world.now * 1000)
-        number = milliseconds << _DATE_SHIFT | 7 << 76 | 2 << 62
+        number = milliseconds << _TIMESTAMP_SHIFT | 7 << 76 | 2 << 62
         number |= self.world.rng.getrandbits(62)
         text = f"{number:032x}"
         return parse_key(text).unwrap()
 
-    def _make_ear(
+    def _make_finish_handler(
         self, call_id: str
     ) -> Callable[[FinishCall | None, list[bytes]], None]:
         deadline = self.calls[-1][1]
 
-        def hear(finish: FinishCall | None, chunks: list[bytes]) -> None:
+        def handle_finish(finish: FinishCall | None, chunks: list[bytes]) -> None:
             key = finish.key.text if finish and finish.key else ""
             if not key and self._key is not None:
                 key = self._key.text
             outcome = finish.outcome if finish else None
-            word = Told(
+            answer = Answer(
                 self.name,
                 call_id,
                 key,
@@ -158,35 +165,35 @@
                 self.world.now,
                 deadline,
             )
-            self.told.append(word)
-            self._react(outcome, finish, key)
+            self.answers.append(answer)
+            self._handle_outcome(outcome, finish, key)
 
-        return hear
+        return handle_finish
 
-    def _react(
+    def _handle_outcome(
         self, outcome: Outcome | None, finish: FinishCall | None, key: str
     ) -> None:
         if outcome is Outcome.DONE:
-            self.over = True
+            self.done = True
             return
-        wait = _COME_BACK
+        wait = _RETRY_SECONDS
         if finish is not None and finish.retry_at:
             wait = max(0.1, finish.retry_at - self.world.now)
         if outcome is Outcome.NOT_RUN:
             self._key = finish.fresh if finish else None
         elif outcome is Outcome.IN_DOUBT:
-            self._doubts += 1
-            if self._doubts > _MOST_DOUBTS:
-                self.over = True
+            self._in_doubt_count += 1
+            if self._in_doubt_count > _MAX_IN_DOUBT_ANSWERS:
+                self.done = True
                 return
             self._key = parse_key(key).unwrap()
-        elif outcome is None and self.kind is Kind.DRAWN:
-            # The caller never had a key: it can't know, and stops.
-            self.over = True
+        elif outcome is None and self.kind is RequestKind.DRAWN:
+            # Without a key, the caller can't ask whether the order ran.
+            self.done = True
             return
-        self._come_back(min(wait, 2.0), other_entry=True)
+        self._retry_later(min(wait, 2.0), other_entry=True)
 
-    def _come_back(self, wait: float, *, other_entry: bool) -> None:
+    def _retry_later(self, wait: float, *, other_entry: bool) -> None:
         if other_entry:
-            self._turn += 1
+            self._entry_index += 1
         self.world.after(wait, self.start)
--- a/fakes/model/_engine.py
+++ b/fakes/model/_engine.py
@@ -1,4 +1,4 @@
-"""A fake engine: it streams chunks, bears little when cold, and falls over."""
+"""A fake engine: it streams chunks, with little capacity after a start."""
 
 from collections.abc import Callable
 
@@ -7,25 +7,25 @@
 from mintsaddle.decisions.arrivals import EngineResult
 
 CHUNKS = 4
-"""Chunks of each streamed answer."""
+"""Chunks in each streamed answer."""
 
-HEAD_TIME = 0.04
-CHUNK_TIME = 0.05
-ORDER_TIME = 0.2
+FIRST_CHUNK_SECONDS = 0.04
+CHUNK_SECONDS = 0.05
+ORDER_SECONDS = 0.2
 
 
 class EngineRun:
-    """One request at the engine."""
+    """A request in progress at the engine."""
 
-    def __init__(self, work: str, first: int, chunks: int) -> None:
-        self.work = work
-        self.next = first
+    def __init__(self, work_id: str, first: int, chunks: int) -> None:
+        self.work_id = work_id
+        self.next_chunk = first
         self.chunks = chunks
-        self.over = False
+        self.cancelled = False
 
 
 class Engine(Process):
-    """One engine, reached by the endpoint daemon on its VM only."""
+    """An engine that only the endpoint daemon on its VM calls."""
 
     def __init__(
         self, world: World, name: str, data_centre: str, cold_limit: int, limit: int
@@ -39,18 +39,18 @@
         self._runs: dict[EngineRun, Callable[[bool], None]] = {}
 
     def start(self) -> None:
-        """Start cold."""
+        """Start cold, with a new boot number."""
         super().start()
         self.boot = self.world.rng.getrandbits(30)
         self._served = 0
         self._runs = {}
 
     def die(self) -> None:
-        """Break everything off."""
+        """Crash; every request in progress ends incomplete."""
         super().die()
         runs, self._runs = self._runs, {}
-        for end in runs.values():
-            end(False)
+        for on_end in runs.values():
+            on_end(False)
 
     def run(
         self,
@@ -59,63 +59,66 @@
         on_end: Callable[[bool], None],
         order: bool,
     ) -> None:
-        """Take a request; the caller has checked that the engine lives."""
+        """Start a request; the caller has checked that the engine is alive."""
         self._runs[run] = on_end
         now = self.world.now
-        execution = Execution(run.work, self.name, now, self.held, self.bears)
+        execution = Execution(run.work_id, self.name, now, self.held, self.capacity)
         self.world.executions.append(execution)
         if order:
-            self.later(ORDER_TIME, lambda: self._end(run))
+            self.later(ORDER_SECONDS, lambda: self._finish(run))
             return
-        self.later(self.head_time(), lambda: self._step(run, on_chunk))
+        self.later(self.head_time(), lambda: self._emit_chunk(run, on_chunk))
 
-    def chunks_of(self, work: str) -> int:
-        """Return how many chunks the answer to a request has."""
-        del work
+    def count_chunks(self, work_id: str) -> int:
+        """Return the number of chunks in the answer to a request."""
+        del work_id
         return CHUNKS
 
     def head_time(self) -> float:
-        """Return the seconds until the first chunk."""
-        return HEAD_TIME
+        """Return the seconds from the start to the first chunk."""
+        return FIRST_CHUNK_SECONDS
 
     def chunk_time(self) -> float:
         """Return the seconds between two chunks."""
-        return CHUNK_TIME
+        return CHUNK_SECONDS
 
     @property
     def held(self) -> int:
-        """Requests at the engine."""
+        """Number of requests in progress."""
         return len(self._runs)
 
     @property
-    def bears(self) -> int:
-        """Requests that the engine can bear now."""
+    def capacity(self) -> int:
+        """Number of requests that the engine can process at once now.
+
+        It grows by one with each request served since the start.
+        """
         return min(self._limit, self._cold_limit + self._served)
 
     def cancel(self, run: EngineRun) -> None:
-        """Stop a request whose connection was broken."""
+        """Stop a request whose connection was closed."""
         if self._runs.pop(run, None) is not None:
-            run.over = True
-            self.cancelled.append(run.work)
+            run.cancelled = True
+            self.cancelled.append(run.work_id)
 
-    def _step(self, run: EngineRun, on_chunk: Callable[[int], None]) -> None:
+    def _emit_chunk(self, run: EngineRun, on_chunk: Callable[[int], None]) -> None:
         if run not in self._runs:
             return
-        if run.next > run.chunks:
-            self._end(run)
+        if run.next_chunk > run.chunks:
+            self._finish(run)
             return
-        on_chunk(run.next)
-        run.next += 1
-        self.later(self.chunk_time(), lambda: self._step(run, on_chunk))
+        on_chunk(run.next_chunk)
+        run.next_chunk += 1
+        self.later(self.chunk_time(), lambda: self._emit_chunk(run, on_chunk))
 
-    def _end(self, run: EngineRun) -> None:
-        end = self._runs.pop(run, None)
-        if end is not None:
+    def _finish(self, run: EngineRun) -> None:
+        on_end = self._runs.pop(run, None)
+        if on_end is not None:
             self._served += 1
-            end(True)
+            on_end(True)
 
 
-def make_result(whole: bool, body: bytes = b"") -> EngineResult:
-    """Return what an endpoint daemon makes of an end."""
-    evidence = EngineFeedback.GOOD if whole else EngineFeedback.FAILED
-    return EngineResult(evidence, True, 200 if whole else 0, "text/plain", body)
+def make_engine_result(complete: bool, body: bytes = b"") -> EngineResult:
+    """Return the result that an endpoint daemon derives from an end."""
+    feedback = EngineFeedback.GOOD if complete else EngineFeedback.FAILED
+    return EngineResult(feedback, True, 200 if complete else 0, "text/plain", body)
--- a/fakes/model/_entry.py
+++ b/fakes/model/_entry.py
@@ -1,4 +1,4 @@
-"""An entry daemon in the model: the product's decisions over fake I/O."""
+"""The entry daemon of the model: the real decisions over fake I/O."""
 
 from collections.abc import Callable
 
@@ -31,7 +31,7 @@
 )
 from mintsaddle.values import Load, OrderKey, Stamp
 
-_LOOK = 0.5
+_POLL_SECONDS = 0.5
 
 
 class EntryDaemon(Daemon):
@@ -40,38 +40,40 @@
     routing: RoutingState
 
     def start(self) -> None:
-        """Start a run that knows no endpoint."""
+        """Start a run without any endpoint state."""
         super().start()
         self.routing = RoutingState(self.name, self.data_centre)
         self.calls: set[EntryCallModel] = set()
         self.leaving = False
-        self.later(_LOOK, self._poll_endpoints)
+        self.later(_POLL_SECONDS, self._poll_endpoints)
 
     def die(self) -> None:
-        """End; connections to callers and endpoints break."""
+        """Crash; connections to callers and endpoints are reset."""
         super().die()
         for call in tuple(self.calls):
-            call.lose_entry()
+            call.handle_entry_crash()
 
-    def leave(self, then: Callable[[], None]) -> None:
-        """Stop as on SIGTERM: let the answers finish."""
+    def leave(self, on_done: Callable[[], None]) -> None:
+        """Stop as on SIGTERM: exit once all calls have finished."""
         self.leaving = True
         if not self.calls:
             self.alive = False
-            then()
+            on_done()
             return
-        self.later(0.05, lambda: self.leave(then))
+        self.later(0.05, lambda: self.leave(on_done))
 
-    def follow(self) -> None:
-        """Follow a changed text or marks."""
+    def handle_configuration_change(self) -> None:
+        """Clear the backoff of endpoints that aren't marked out."""
         fleet = self.configuration.fleet
         if fleet is not None:
             marks = self.configuration.marks
-            back = [name for name in fleet.endpoints if not marks.is_out(fleet, name)]
-            clear_backoff(self.routing, back)
+            available = [
+                name for name in fleet.endpoints if not marks.is_out(fleet, name)
+            ]
+            clear_backoff(self.routing, available)
 
-    def issue(self, service: str) -> OrderKey | None:
-        """Issue a key for a home that answers now."""
+    def issue_key(self, service: str) -> OrderKey | None:
+        """Issue an order key for an available home, if there is one."""
         fleet = self.configuration.fleet
         if fleet is None or not self.is_serving():
             return None
@@ -83,7 +85,7 @@
         return drawn.key if drawn else None
 
     def _poll_endpoints(self) -> None:
-        self.later(_LOOK, self._poll_endpoints)
+        self.later(_POLL_SECONDS, self._poll_endpoints)
         fleet = self.configuration.fleet
         if fleet is None:
             return
@@ -99,58 +101,60 @@
             stamp = peer.stamp()
             load = describe_endpoint_load(peer.state, peer.now())
 
-            def take() -> None:
+            def receive() -> None:
                 record_load(self.routing, name, stamp.boot, load, self.now())
 
-            self.world.send(peer, self, take)
+            self.world.send(peer, self, receive)
 
         self.world.send(self, peer, reply)
 
 
 class EntryCallModel:
-    """One call at one entry."""
+    """A call in progress at an entry."""
 
     def __init__(
         self,
         entry: EntryDaemon,
         request: CallRequest,
-        work: str,
+        work_id: str,
         watched: bool,
-        tell: Callable[[FinishCall | None, list[bytes]], None],
+        on_finish: Callable[[FinishCall | None, list[bytes]], None],
     ) -> None:
         self.entry = entry
         self.watched = watched
-        self.first_at: float | None = None
+        self.first_chunk_at: float | None = None
         self.longest_gap = 0.0
-        self._last_at = 0.0
-        self._work = work
-        self._tell = tell
+        self._last_chunk_at = 0.0
+        self._work_id = work_id
+        self._on_finish = on_finish
         self._chunks: list[bytes] = []
         self._state = CallState(request)
         self._targets: dict[int, EndpointDaemon] = {}
 
     def start(self) -> None:
-        """Begin the call."""
+        """Start the call; a fault at its first step may kill the entry."""
         self.entry.calls.add(self)
-        self._reach("arrived")
+        self._notify_step("arrived")
         if not self.entry.alive:
             return
-        self._perform(start_call(self._state, self._facts(), self.entry.now()))
+        self._perform(
+            start_call(self._state, self._routing_context(), self.entry.now())
+        )
 
-    def hang_up(self) -> None:
-        """The caller goes."""
+    def disconnect(self) -> None:
+        """Handle the caller closing its connection."""
         self.entry.when_awake(lambda: self.handle(CallerDisconnected()))
         self.entry.calls.discard(self)
 
     def handle(self, event: CallEvent) -> None:
-        """Move the call on."""
+        """Pass an event to the call's state machine and act on the result."""
         now = self.entry.now()
-        self._perform(handle_event(self._state, self._facts(), event, now))
+        self._perform(handle_event(self._state, self._routing_context(), event, now))
 
-    def take_reply(
+    def handle_reply(
         self, endpoint: EndpointDaemon, event: CallEvent, stamp: Stamp, load: Load
     ) -> None:
-        """Take a reply with what rides on it."""
+        """Handle a reply with the stamp and the load that it carries."""
         if self not in self.entry.calls:
             return
         self.entry.catch_up(stamp, lambda _: None)
@@ -158,28 +162,28 @@
         record_load(self.entry.routing, endpoint.name, stamp.boot, load, now)
         self.handle(event)
 
-    def break_attempt(self, endpoint: EndpointDaemon, number: int) -> None:
-        """The connection to an endpoint daemon was reset."""
+    def reset_attempt(self, endpoint: EndpointDaemon, number: int) -> None:
+        """Report to the entry that an endpoint reset its connection."""
         world = self.entry.world
         event = AttemptFailed(number, sent=True)
         world.send(endpoint, self.entry, lambda: self.handle(event))
 
-    def lose_entry(self) -> None:
-        """The entry died: the endpoints see their connections reset."""
+    def handle_entry_crash(self) -> None:
+        """Handle the entry's crash: endpoints see their connections reset."""
         self.entry.calls.discard(self)
         for number, endpoint in self._targets.items():
             request_id = f"{self._state.request.request_id}.{number}"
             self.entry.world.send(
-                self.entry, endpoint, self._make_hang_up(endpoint, request_id)
+                self.entry, endpoint, self._make_disconnect(endpoint, request_id)
             )
-        self._tell(None, self._chunks)
+        self._on_finish(None, self._chunks)
 
-    def _make_hang_up(
+    def _make_disconnect(
         self, endpoint: EndpointDaemon, request_id: str
     ) -> Callable[[], None]:
-        return lambda: endpoint.hang_up(request_id)
+        return lambda: endpoint.disconnect(request_id)
 
-    def _facts(self) -> RoutingContext:
+    def _routing_context(self) -> RoutingContext:
         configuration = self.entry.configuration
         assert configuration.fleet is not None
         return RoutingContext(
@@ -198,24 +202,24 @@
                     endpoint = self._targets[attempt]
                     name = f"{self._state.request.request_id}.{attempt}"
                     self.entry.world.send(
-                        self.entry, endpoint, self._make_hang_up(endpoint, name)
+                        self.entry, endpoint, self._make_disconnect(endpoint, name)
                     )
                 case DeliverChunk(_, data):
                     self._record_chunk()
                     self._chunks.append(data)
                 case FinishCall():
-                    self._reach("answered")
+                    self._notify_step("answered")
                     if self in self.entry.calls:
                         self.entry.calls.discard(self)
-                        self._tell(action, self._chunks)
+                        self._on_finish(action, self._chunks)
 
     def _record_chunk(self) -> None:
         now = self.entry.world.now
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_chunk_at is None:
+            self.first_chunk_at = now
         else:
-            self.longest_gap = max(self.longest_gap, now - self._last_at)
-        self._last_at = now
+            self.longest_gap = max(self.longest_gap, now - self._last_chunk_at)
+        self._last_chunk_at = now
 
     def _send(self, action: SendAttempt) -> None:
         request = self._state.request
@@ -225,8 +229,8 @@
         if self.watched:
             world.watched_endpoint = endpoint.name
         if action.key is not None:
-            world.owners[action.key.text] = self._work
-        self._reach("routed")
+            world.calls_by_key[action.key.text] = self._work_id
+        self._notify_step("routed")
         if not self.entry.alive:
             return
         self._targets[action.attempt] = endpoint
@@ -240,24 +244,24 @@
             action.resume_after > 0,
         )
         number = action.attempt
-        attempt = Attempt(arrival, self._work, number, action.resume_after, self)
-        # A message that is lost, doubled or late is sent all the same; the
-        # connection that is refused is the only thing that proves it unsent.
+        attempt = Attempt(arrival, self._work_id, number, action.resume_after, self)
+        # A lost, duplicated or late message still counts as sent. Only a
+        # refused connection proves that the attempt wasn't sent.
         world.send(
             self.entry,
             endpoint,
-            lambda: endpoint.take(attempt),
+            lambda: endpoint.receive(attempt),
             kind=f"request {self.watched}",
-            refused=lambda: self.handle(AttemptFailed(number, sent=False)),
+            on_refused=lambda: self.handle(AttemptFailed(number, sent=False)),
         )
-        self._reach("sent")
+        self._notify_step("sent")
         self._set_timer()
 
     def _set_timer(self) -> None:
         wait = max(0.0, next_deadline(self._state) - self.entry.now())
-        self.entry.later(wait + 1e-6, self._wake)
+        self.entry.later(wait + 1e-6, self._handle_timer)
 
-    def _wake(self) -> None:
+    def _handle_timer(self) -> None:
         if self._state.over:
             return
         if self.entry.now() >= next_deadline(self._state):
@@ -265,6 +269,6 @@
         if not self._state.over:
             self._set_timer()
 
-    def _reach(self, step: str) -> None:
+    def _notify_step(self, step: str) -> None:
         if self.watched:
-            self.entry.world.reach(step)
+            self.entry.world.notify_step(step)
--- a/fakes/model/_site.py
+++ b/fakes/model/_site.py
@@ -1,6 +1,6 @@
-"""The model's site: three data centres, two entries, six endpoints."""
+"""The site under test: three data centres, two entries, six endpoints."""
 
-from fakes.model._callers import Caller, Kind
+from fakes.model._callers import Caller, RequestKind
 from fakes.model._daemons import Platform
 from fakes.model._endpoint import EndpointDaemon
 from fakes.model._engine import Engine
@@ -9,7 +9,7 @@
 
 COLD_LIMIT = 2
 LIMIT = 6
-CLOCK_BOUND = 0.2
+CLOCK_BOUND_SECONDS = 0.2
 CENTRES = ("a", "b", "c")
 TEXT_REVISION = 7
 WATCHED_AT = START + 4.0
@@ -18,16 +18,17 @@
 _ENTRIES = ("a-entry", "b-entry")
 _LETTERS = ("a-letters", "b-letters", "c-letters")
 _ORDERS = ("a-orders", "b-orders", "c-orders")
-_STEADY = 20
-_STEADY_GAP = 0.45
-_BURST = 12
+_STEADY_CALLERS = 20
+_STEADY_INTERVAL = 0.45
+_BURST_CALLERS = 12
 _BURST_AT = WATCHED_AT + 0.9
-"""Just after a restarted engine is back: a cold one must not get it all."""
+"""Just after a restarted engine is up: the cold engine must not get the
+whole burst."""
 
 
-def make_text(orders: str, former: str = "") -> str:
-    """Return a fleet text with some homes for orders."""
-    parts = [f"[fleet]\nname = model\nclock bound = {CLOCK_BOUND}\n"]
+def make_fleet_text(orders: str, former: str = "") -> str:
+    """Return a fleet text whose orders have the given homes."""
+    parts = [f"[fleet]\nname = model\nclock bound = {CLOCK_BOUND_SECONDS}\n"]
     parts += [f"[data centre {name}]\nregion = r\n" for name in CENTRES]
     vms = [("entry", name) for name in _ENTRIES]
     vms += [("endpoint", name) for name in (*_LETTERS, *_ORDERS)]
@@ -48,14 +49,14 @@
     return "\n".join(parts)
 
 
-TEXT = make_text("a-orders b-orders")
-MOVED_TEXT = make_text("b-orders c-orders", former="a-orders")
+FLEET_TEXT = make_fleet_text("a-orders b-orders")
+MOVED_TEXT = make_fleet_text("b-orders c-orders", former="a-orders")
 
 
 class Site:
-    """All processes and callers of one world."""
+    """All processes and callers of one simulation."""
 
-    def __init__(self, kind: Kind, seed: int, skewed: bool = False) -> None:
+    def __init__(self, kind: RequestKind, seed: int, skewed: bool = False) -> None:
         self.world = World(seed)
         self.platform = Platform(self.world)
         self.engines: dict[str, Engine] = {}
@@ -74,31 +75,31 @@
             self.world, "watched", kind, entries, END - 6.0, watched=True
         )
         self.callers = [self.watched, *self._make_background(entries)]
-        self.centres_out: set[str] = set()
-        self.planned_moments: dict[str, list[tuple[str, float]]] = {}
+        self.centres_marked_out: set[str] = set()
+        self.planned_acts: dict[str, list[tuple[str, float]]] = {}
 
     def start(self) -> None:
-        """Start everything and schedule the callers."""
+        """Start all processes, publish the text and schedule the callers."""
         self.platform.start()
         for engine in self.engines.values():
             engine.start()
         for daemon in self.daemons.values():
             daemon.start()
-        self.platform.publish_text(TEXT_REVISION, TEXT)
+        self.platform.publish_text(TEXT_REVISION, FLEET_TEXT)
         wait = WATCHED_AT - self.world.now
         self.world.after(wait, self.watched.start)
-        for number, caller in enumerate(self.callers[1 : 1 + _STEADY]):
-            self.world.after(wait - 1.5 + number * _STEADY_GAP, caller.start)
-        for caller in self.callers[1 + _STEADY :]:
+        for number, caller in enumerate(self.callers[1 : 1 + _STEADY_CALLERS]):
+            self.world.after(wait - 1.5 + number * _STEADY_INTERVAL, caller.start)
+        for caller in self.callers[1 + _STEADY_CALLERS :]:
             self.world.after(_BURST_AT - self.world.now, caller.start)
 
     def run(self) -> None:
-        """Let the world come to its end."""
+        """Run the simulation to its end."""
         self.world.run_until(END)
 
-    def record_plan(self, what: str, subject: str) -> None:
-        """Remember a planned act for the oracle."""
-        moments = self.planned_moments.setdefault(what, [])
+    def record_planned_act(self, act: str, subject: str) -> None:
+        """Record an operator's planned act and its time for the oracle."""
+        moments = self.planned_acts.setdefault(act, [])
         moments.append((subject, self.world.now))
 
     def _add_endpoints(self) -> None:
@@ -111,17 +112,27 @@
             )
 
     def _skew_clocks(self) -> None:
-        """Set clocks apart by the whole bound, in turns."""
+        """Offset clocks by turns, so that they differ by the whole bound."""
         for number, daemon in enumerate(self.daemons.values()):
-            half = CLOCK_BOUND / 2
+            half = CLOCK_BOUND_SECONDS / 2
             daemon.clock_offset = half if number % 2 else -half
 
     def _make_background(self, entries: list[EntryDaemon]) -> list[Caller]:
-        kinds = (Kind.STREAM, Kind.STREAM, Kind.DRAWN, Kind.STREAM, Kind.BROUGHT)
+        kinds = (
+            RequestKind.STREAM,
+            RequestKind.STREAM,
+            RequestKind.DRAWN,
+            RequestKind.STREAM,
+            RequestKind.SUPPLIED,
+        )
         callers = []
-        for number in range(_STEADY + _BURST):
-            order = entries if number % 2 else entries[::-1]
-            kind = kinds[number % len(kinds)] if number < _STEADY else Kind.STREAM
+        for number in range(_STEADY_CALLERS + _BURST_CALLERS):
+            entry_order = entries if number % 2 else entries[::-1]
+            kind = (
+                kinds[number % len(kinds)]
+                if number < _STEADY_CALLERS
+                else RequestKind.STREAM
+            )
             name = f"background{number}"
-            callers.append(Caller(self.world, name, kind, order, END - 6.0))
+            callers.append(Caller(self.world, name, kind, entry_order, END - 6.0))
         return callers
--- a/fakes/model/_world.py
+++ b/fakes/model/_world.py
@@ -1,4 +1,4 @@
-"""Virtual time, processes that die and freeze, and a network with faults."""
+"""Virtual time, processes that crash and freeze, and a network with faults."""
 
 import heapq
 import itertools
@@ -7,37 +7,40 @@
 from typing import NamedTuple
 
 START = 1_800_000_000.0
-"""The virtual instant at which a world begins."""
+"""Virtual time at which a simulation begins, as a Unix timestamp."""
 
 LATENCY = 0.001
-"""Seconds that a message takes between two VMs."""
+"""One-way delay of a message between two VMs, in seconds."""
 
 
 class Execution(NamedTuple):
-    """One start of one request at an engine."""
+    """One start of a request at an engine."""
 
-    work: str
-    """The order's key, or the caller's request id."""
+    work_id: str
+    """The key of an order, or the caller's request id."""
 
     endpoint: str
     at: float
     held: int
-    """Requests that the engine then held, this one included."""
+    """Requests in progress at the engine, including this one."""
 
-    bears: int
-    """Requests that it could then bear."""
+    capacity: int
+    """Requests that the engine could process at once at that moment."""
 
 
 class MessageFault(NamedTuple):
-    """What happens to the next message of a kind."""
+    """A fault that applies to the next message of a kind."""
 
     kind: str
-    what: str
+    effect: str
     """``late``, ``doubled``, ``reordered`` or ``lost``."""
 
 
 class World:
-    """The clock, the event queue and what the oracle needs to know."""
+    """A simulation: virtual clock, event queue, network and recorded facts.
+
+    The oracle reads the recorded facts once the simulation is over.
+    """
 
     def __init__(self, seed: int) -> None:
         self.now = START
@@ -47,67 +50,73 @@
         self.cut_from_platform: set[str] = set()
         self.message_faults: list[MessageFault] = []
         self.hooks: dict[str, list[Callable[[], None]]] = {}
-        self.marks_known: dict[int, float] = {}
-        self.ever_cut: set[str] = set()
-        self.owners: dict[str, str] = {}
+        self.marks_adopted_at: dict[int, float] = {}
+        self.ever_isolated: set[str] = set()
+        self.calls_by_key: dict[str, str] = {}
         self.watched_endpoint = ""
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
-    def after(self, delay: float, act: Callable[[], None]) -> None:
-        """Do something later."""
-        entry = (self.now + delay, next(self._numbers), act)
+    def after(self, delay: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay in virtual seconds."""
+        entry = (self.now + delay, next(self._sequence), callback)
         heapq.heappush(self._queue, entry)
 
     def run_until(self, moment: float) -> None:
-        """Let virtual time pass."""
+        """Run all events up to a moment of virtual time."""
         while self._queue and self._queue[0][0] <= moment:
-            self.now, _, act = heapq.heappop(self._queue)
-            act()
+            self.now, _, callback = heapq.heappop(self._queue)
+            callback()
         self.now = moment
 
-    def reach(self, step: str) -> None:
-        """Tell that the watched request has reached a step; once each."""
-        for act in self.hooks.pop(step, ()):
-            act()
+    def notify_step(self, step: str) -> None:
+        """Run the hooks of a step that the watched request reaches, once."""
+        for callback in self.hooks.pop(step, ()):
+            callback()
 
-    def is_linked(self, one: str, other: str) -> bool:
-        """Return whether two data centres reach each other."""
-        return one == other or not {one, other} & self.cut_from_others
+    def can_reach(self, first: str, second: str) -> bool:
+        """Return whether messages pass between two data centres."""
+        return first == second or not {first, second} & self.cut_from_others
 
     def send(
         self,
         source: "Process",
         target: "Process",
-        act: Callable[[], None],
+        callback: Callable[[], None],
         kind: str = "control",
-        refused: Callable[[], None] | None = None,
+        on_refused: Callable[[], None] | None = None,
     ) -> None:
-        """Carry a message; a dead process refuses it, a cut link loses it."""
+        """Deliver a message to a process.
+
+        A cut link loses the message. A process that isn't running refuses it,
+        which the sender learns through ``on_refused``.
+        """
         delays = self._delays(kind)
         for delay in delays:
-            self.after(delay, lambda: self._arrive(source, target, act, refused))
+            self.after(
+                delay, lambda: self._arrive(source, target, callback, on_refused)
+            )
 
     def _delays(self, kind: str) -> tuple[float, ...]:
         for fault in self.message_faults:
             if fault.kind == kind:
                 self.message_faults.remove(fault)
-                return _FAULT_DELAYS[fault.what]
+                return _FAULT_DELAYS[fault.effect]
         return (LATENCY,)
 
     def _arrive(
         self,
         source: "Process",
         target: "Process",
-        act: Callable[[], None],
-        refused: Callable[[], None] | None,
+        callback: Callable[[], None],
+        on_refused: Callable[[], None] | None,
     ) -> None:
-        if not self.is_linked(source.data_centre, target.data_centre):
+        if not self.can_reach(source.data_centre, target.data_centre):
             return
         if target.alive:
-            target.when_awake(act)
-        elif refused is not None:
-            source.when_awake(refused)
+            target.when_awake(callback)
+        elif on_refused is not None:
+            source.when_awake(on_refused)
 
 
 _FAULT_DELAYS = {
@@ -116,10 +125,11 @@
     "reordered": (0.12,),
     "lost": (),
 }
+"""Delay in seconds of each copy of a message, by the fault's effect."""
 
 
 class Process:
-    """Something that runs, dies, freezes and starts again with no memory."""
+    """A process that can crash, freeze and restart without its state."""
 
     def __init__(self, world: World, name: str, data_centre: str) -> None:
         self.world = world
@@ -131,42 +141,42 @@
         self._frozen_until = 0.0
 
     def now(self) -> float:
-        """Return the instant on this process's own clock."""
+        """Return the time on this process's own clock."""
         return self.world.now + self.clock_offset
 
     def start(self) -> None:
-        """Start a new run."""
+        """Start a new run; events of earlier runs are dropped."""
         self.alive = True
         self.run_number += 1
         self._frozen_until = 0.0
 
     def die(self) -> None:
-        """End the run."""
+        """End the run abruptly."""
         self.alive = False
 
     def freeze(self, seconds: float) -> None:
-        """Stop doing anything; what comes meanwhile is done on waking."""
+        """Suspend the process; its events are deferred until it resumes."""
         self._frozen_until = self.world.now + seconds
 
     @property
     def frozen(self) -> bool:
-        """Whether the process is frozen at present."""
+        """Whether the process is suspended now."""
         return self.world.now < self._frozen_until
 
-    def later(self, delay: float, act: Callable[[], None]) -> None:
-        """Do something later in this run, or on waking."""
+    def later(self, delay: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback in this run, deferred while frozen."""
         run = self.run_number
-        self.world.after(delay, lambda: self._do(run, act))
+        self.world.after(delay, lambda: self._run_callback(run, callback))
 
-    def when_awake(self, act: Callable[[], None]) -> None:
-        """Do something now in this run, or on waking."""
-        self._do(self.run_number, act)
+    def when_awake(self, callback: Callable[[], None]) -> None:
+        """Run a callback now, or on resuming if the process is frozen."""
+        self._run_callback(self.run_number, callback)
 
-    def _do(self, run: int, act: Callable[[], None]) -> None:
+    def _run_callback(self, run: int, callback: Callable[[], None]) -> None:
         if not self.alive or run != self.run_number:
             return
         if self.frozen:
             wait = self._frozen_until - self.world.now
-            self.world.after(wait, lambda: self._do(run, act))
+            self.world.after(wait, lambda: self._run_callback(run, callback))
             return
-        act()
+        callback()
--- a/fakes/model/tests/test_matrix.py
+++ b/fakes/model/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix: each fault at each step, and an oracle that can fail."""
+"""The fault matrix: every fault at every step, and checks of the oracle."""
 
 import itertools
 from collections.abc import Callable
@@ -21,12 +21,12 @@
 
 KINDS = ("stream", "brought", "issued", "drawn")
 
-CI_PAIRS = 41
-"""Every so many pairs one runs in CI; docs/PROOF.md has the run of all."""
+CI_PAIR_STRIDE = 41
+"""CI runs one pair in 41; docs/PROOF.md has the run of all pairs."""
 
 
 def all_pairs() -> list[Cell]:
-    """Return the cells of two faults at one step, clocks apart in half."""
+    """Return all cells with two faults; every other one skews clocks."""
     cells = []
     pairs = itertools.combinations(FAULTS, 2)
     for number, (kind, step, pair) in enumerate(itertools.product(KINDS, STEPS, pairs)):
@@ -49,17 +49,19 @@
     @pytest.mark.parametrize("kind", KINDS)
     def test_no_promise_is_broken(self, kind: str) -> None:
         found = []
-        for cell in [cell for cell in all_pairs() if cell.kind == kind][::CI_PAIRS]:
+        for cell in [cell for cell in all_pairs() if cell.kind == kind][
+            ::CI_PAIR_STRIDE
+        ]:
             result = run_cell(cell)
             found += [(str(cell), *item) for item in result.violations]
         assert not found
 
 
-class Permissive(NamedTuple):
-    """A guard swapped for one that lets everything pass."""
+class PermissiveGuard(NamedTuple):
+    """A guard, and a replacement that lets everything pass."""
 
-    point: str
-    """The promise whose violation the oracle must report."""
+    invariant: str
+    """The invariant whose violation the oracle must report."""
 
     module: Any
     name: str
@@ -71,7 +73,9 @@
     return rules.limit if state.engine_boot is not None else 0
 
 
-def _take_any_chunk(state: Any, facts: Any, attempt: Any, event: Any, now: Any) -> Any:
+def _deliver_any_chunk(
+    state: Any, context: Any, attempt: Any, event: Any, now: Any
+) -> Any:
     state.mark_head_delivered()
     return (DeliverChunk(state.count_delivered(), event.data),)
 
@@ -98,64 +102,64 @@
     return KeyDecision(KeyAction.RUN, entry=entry)
 
 
-PERMISSIVE = [
-    Permissive(
+PERMISSIVE_GUARDS = [
+    PermissiveGuard(
         "cold",
         admission,
         "current_limit",
         _warm_limit,
         Cell("stream", "given", ("engine cold restart",)),
     ),
-    Permissive(
+    PermissiveGuard(
         "marked out",
         arrivals,
         "refusal_reason",
         lambda state: None,
         Cell("stream", "arrived", ("data centre marked out", "entry frozen")),
     ),
-    Permissive(
+    PermissiveGuard(
         "whole answer",
         calls,
         "handle_chunk",
-        _take_any_chunk,
+        _deliver_any_chunk,
         Cell("stream", "middle", ("reply doubled",)),
     ),
-    Permissive(
+    PermissiveGuard(
         "not run",
         arrivals,
         "close_order",
         _forget_tombstone,
         Cell("brought", "routed", ("engine cold restart", "request doubled")),
     ),
-    Permissive(
+    PermissiveGuard(
         "at most once",
         orders,
         "_refuse_issued",
         lambda state, key, now: None,
         Cell("issued", "middle", ("endpoint daemon killed",)),
     ),
-    Permissive(
+    PermissiveGuard(
         "at most once",
         arrivals,
         "decide_key",
         _run_any_key,
         Cell("brought", "given", ("caller retries by another entry",)),
     ),
-    Permissive(
+    PermissiveGuard(
         "leaving",
         EndpointDaemon,
         "leave",
         lambda self, then: None,
         Cell("stream", "arrived", ("endpoint leaves",)),
     ),
-    Permissive(
+    PermissiveGuard(
         "planned stop",
         EndpointDaemon,
         "_exit_when_idle",
         lambda self, then: self._exit(then),
         Cell("stream", "middle", ("endpoint leaves",)),
     ),
-    Permissive(
+    PermissiveGuard(
         "configuration",
         _daemons,
         "adopt_text",
@@ -167,10 +171,12 @@
 
 class TestOracleCanFail:
     @pytest.mark.parametrize(
-        "case", PERMISSIVE, ids=lambda case: f"{case.point} without {case.name}"
+        "case",
+        PERMISSIVE_GUARDS,
+        ids=lambda case: f"{case.invariant} without {case.name}",
     )
-    def test_permissive_guard_is_reported(self, case: Permissive) -> None:
+    def test_permissive_guard_is_reported(self, case: PermissiveGuard) -> None:
         assert not run_cell(case.cell).violations
         with patch.object(case.module, case.name, case.guard):
-            points = {item.point for item in run_cell(case.cell).violations}
-        assert case.point in points, (str(case.cell), points)
+            broken = {item.invariant for item in run_cell(case.cell).violations}
+        assert case.invariant in broken, (str(case.cell), broken)
