--- a/fakes/engine.py
+++ b/fakes/engine.py
@@ -1,9 +1,9 @@
-"""A stand-in for a model engine or a plain order service.
+"""A fake model engine, which also serves as a plain order service.
 
 A ``POST`` with ``{"tokens": N, "pace": SECONDS}`` streams N events and an end
-event. Any other ``POST`` is an order or a lookup: it is counted under its
-``Request-Id`` and answered as a whole. ``GET /status`` shows the boot and
-``GET /executions`` what has run, for tests.
+event. Any other ``POST`` is an order or a lookup, answered with one JSON
+object. Each execution is counted under its ``Request-Id``. ``GET /status``
+returns the boot number, and ``GET /executions`` the counts for tests.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 
 
 class EngineRecord:
-    """What a stand-in has run, and the most it held at one time."""
+    """Counts of executions, cancellations, open requests and overruns."""
 
     def __init__(self, cold_limit: int, limit: int) -> None:
         self._lock = threading.Lock()
@@ -34,29 +34,29 @@
 
     @property
     def boot(self) -> int:
-        """This run."""
+        """Boot number, drawn at random at each start."""
         return self._boot
 
     def begin(self, request_id: str) -> None:
-        """Count an execution; one above what it bears is an overrun."""
+        """Count the start of an execution; above capacity it is an overrun."""
         with self._lock:
             self._executions[request_id] += 1
             self._held += 1
-            bears = min(self._limit, self._cold_limit + self._served)
-            if self._held > bears:
+            capacity = min(self._limit, self._cold_limit + self._served)
+            if self._held > capacity:
                 self._overruns += 1
 
-    def end(self, *, whole: bool) -> None:
-        """Count an end."""
+    def end(self, *, complete: bool) -> None:
+        """Count the end of an execution, completed or cancelled."""
         with self._lock:
             self._held -= 1
-            if whole:
+            if complete:
                 self._served += 1
             else:
                 self._cancelled += 1
 
-    def show(self) -> dict[str, Any]:
-        """Return all counts."""
+    def read_counts(self) -> dict[str, Any]:
+        """Return all counts, under their names in ``GET /executions``."""
         with self._lock:
             return {
                 "executions": dict(self._executions),
@@ -76,35 +76,40 @@
 
         def do_GET(self) -> None:
             if self.path == "/executions":
-                self._answer({**record.show(), **(rank.show() if rank else {})})
+                self._send_json(
+                    {**record.read_counts(), **(rank.read_counts() if rank else {})}
+                )
                 return
-            self._answer({"boot": record.boot, "limit": None})
+            self._send_json({"boot": record.boot, "limit": None})
 
         def do_POST(self) -> None:
             length = int(self.headers.get("Content-Length", "0"))
             body = self.rfile.read(length)
             if rank is not None and self.path.startswith("/group/"):
                 act = self.path.rpartition("/")[2]
-                self._answer(rank.obey(act, json.loads(body or b"{}")))
+                self._send_json(rank.execute(act, json.loads(body or b"{}")))
                 return
             request_id = self.headers.get("Request-Id", "")
             record.begin(request_id)
-            whole = False
+            complete = False
             try:
                 order = json.loads(body or b"{}")
                 if "tokens" in order:
                     self._stream(order, request_id)
                 else:
                     time.sleep(order.get("pace", 0.0))
-                    self._answer({"ran": request_id, "path": self.path})
-                whole = True
+                    self._send_json({"ran": request_id, "path": self.path})
+                complete = True
             except OSError:
                 self.close_connection = True
             finally:
-                record.end(whole=whole)
+                record.end(complete=complete)
 
         def _stream(self, order: dict[str, Any], request_id: str) -> None:
-            """Stream tokens that any engine could go on with."""
+            """Stream tokens that another engine can continue after a break.
+
+            They depend on the request id without the attempt number.
+            """
             self.send_response(200)
             self.send_header("Content-Type", "text/event-stream")
             self.send_header("Engine-Boot", str(record.boot))
@@ -120,8 +125,8 @@
             self.wfile.write(f'event: end\ndata: {{"count": {count}}}\n\n'.encode())
             self.close_connection = True
 
-        def _answer(self, answer: dict[str, Any]) -> None:
-            body = json.dumps(answer).encode()
+        def _send_json(self, content: dict[str, Any]) -> None:
+            body = json.dumps(content).encode()
             self.send_response(200)
             self.send_header("Content-Type", "application/json")
             self.send_header("Content-Length", str(len(body)))
@@ -130,13 +135,13 @@
             self.wfile.write(body)
 
         def log_message(self, *_: object) -> None:
-            """Keep quiet."""
+            """Log nothing."""
 
     return Handler
 
 
 def main() -> None:
-    """Serve until killed; print the port once it is open."""
+    """Serve until killed; print the port once it is bound."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--address", default="127.0.0.1:0")
     parser.add_argument("--cold-limit", type=int, default=1000)
--- a/fakes/known_red.py
+++ b/fakes/known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail for a fault that is still open."""
+"""Reads the list of tests that fail because of a fault still to be fixed."""
 
 from pathlib import Path
 
@@ -6,10 +6,10 @@
 
 
 def read_known_red(root: Path) -> list[str]:
-    """Return the tests listed in a checkout's file; none without a file.
+    """Return the ids of the listed tests; none if there is no such file.
 
-    A test's id stands at the start of a line; indented lines below it hold
-    its command, what was seen and its issue.
+    Each id starts a line. The indented lines below it, which are skipped, give
+    the command, what was seen and the issue.
     """
     path = root / FILE_NAME
     if not path.exists():
--- a/fakes/ranks.py
+++ b/fakes/ranks.py
@@ -1,9 +1,9 @@
-"""A stand-in for one rank of a group: it steps in lock-step with the others.
+"""A fake rank that runs in lock-step with the other ranks of its group.
 
-The ranks of a group meet at a hub, rank 0's stand-in, over plain TCP: each
-sends the step that it enters with its map's version, and the hub answers all
-of them once the last one has entered. The hub counts the steps that were
-entered with more than one map.
+A hub in rank 0's process is the barrier between steps. Each rank sends it, by
+TCP, the number of the step that it enters and the version of its expert map.
+The hub answers all ranks once the last one has entered. It counts the steps
+that the ranks entered with different map versions.
 """
 
 import json
@@ -15,97 +15,103 @@
 from typing import Any
 
 STEP_SECONDS = 0.01
-"""Seconds of work before each meeting."""
+"""Duration of the work before each step's barrier."""
 
 _FIRST_VERSION = 1
 
 
 class Hub:
-    """Where the ranks of a group meet in each step."""
+    """The barrier that all ranks of a group pass in each step."""
 
     def __init__(self, ranks: int) -> None:
         self._ranks = ranks
-        self._met = threading.Condition()
-        self._waiting: dict[int, dict[int, int]] = {}
-        self._done = 0
-        self._mixed = 0
+        self._step_completed = threading.Condition()
+        self._entered_versions: dict[int, dict[int, int]] = {}
+        self._completed_step = 0
+        self._mixed_steps = 0
 
     @property
-    def mixed(self) -> int:
-        """Steps that were entered with more than one map."""
-        return self._mixed
-
-    def meet(self, step: int, rank: int, version: int) -> None:
-        """Wait until every rank has entered a step."""
-        with self._met:
-            maps = self._waiting.setdefault(step, {})
-            maps[rank] = version
-            if len(maps) == self._ranks:
-                self._mixed += len(set(maps.values())) > 1
-                self._done = step
-                del self._waiting[step]
-                self._met.notify_all()
-            while self._done < step:
-                self._met.wait()
+    def mixed_steps(self) -> int:
+        """Number of steps that ranks entered with different map versions."""
+        return self._mixed_steps
+
+    def enter_step(self, step: int, rank: int, version: int) -> None:
+        """Record that a rank enters a step; wait until all ranks have."""
+        with self._step_completed:
+            versions = self._entered_versions.setdefault(step, {})
+            versions[rank] = version
+            if len(versions) == self._ranks:
+                self._mixed_steps += len(set(versions.values())) > 1
+                self._completed_step = step
+                del self._entered_versions[step]
+                self._step_completed.notify_all()
+            while self._completed_step < step:
+                self._step_completed.wait()
 
 
 class FakeRank:
-    """One rank's engine."""
+    """The state of one rank's engine, with the expert maps that it holds."""
 
     def __init__(self, rank: int, ranks: int, experts: int, layers: int, slots: int):
         self._lock = threading.Condition()
         self._rank = rank
         self._experts = experts
         self._layers = layers
-        deal = [(rank + slot * ranks) % experts for slot in range(slots)]
-        self._maps = {_FIRST_VERSION: deal * layers}
+        initial_slots = [(rank + slot * ranks) % experts for slot in range(slots)]
+        self._maps = {_FIRST_VERSION: initial_slots * layers}
         self._active = _FIRST_VERSION
         self._staged = 0
         self._previous = 0
-        self._limit: int | None = None
+        self._hold_limit: int | None = None
         self._entered = 0
         self._completed = 0
         self._hub: Hub | None = None
         self._rng = random.Random(rank)
 
-    def keep_hub(self, hub: Hub) -> None:
-        """Note that the hub is in this process."""
+    def attach_hub(self, hub: Hub) -> None:
+        """Set the hub, which runs in this process."""
         self._hub = hub
 
-    def show(self) -> dict[str, Any]:
-        """Return the counts that tests look at."""
-        mixed = self._hub.mixed if self._hub else 0
-        return {"mixed": mixed, "steps": self._completed, "map": self._active}
+    def read_counts(self) -> dict[str, Any]:
+        """Return the counts that tests check."""
+        mixed_steps = self._hub.mixed_steps if self._hub else 0
+        return {"mixed": mixed_steps, "steps": self._completed, "map": self._active}
 
     def run(self, hub: str) -> None:
-        """Step for ever: enter, meet the others, complete."""
-        link = _connect(hub)
-        stream = link.makefile("rw")
+        """Run steps for ever: enter, wait for the other ranks, complete."""
+        connection = _connect(hub)
+        stream = connection.makefile("rw")
         while True:
             time.sleep(STEP_SECONDS)
             with self._lock:
-                while self._limit is not None and self._entered + 1 >= self._limit:
+                while (
+                    self._hold_limit is not None
+                    and self._entered + 1 >= self._hold_limit
+                ):
                     self._lock.wait()
                 self._entered += 1
-                entry = [self._entered, self._rank, self._active]
-            stream.write(json.dumps(entry) + "\n")
+                message = [self._entered, self._rank, self._active]
+            stream.write(json.dumps(message) + "\n")
             stream.flush()
             if not stream.readline():
                 return
             with self._lock:
                 self._completed = self._entered
 
-    def obey(self, act: str, order: dict[str, Any]) -> dict[str, Any]:
-        """Carry out an order, whatever its fencing number, and read back."""
+    def execute(self, act: str, order: dict[str, Any]) -> dict[str, Any]:
+        """Execute an order and return the resulting state.
+
+        The fencing number isn't checked.
+        """
         with self._lock:
-            obeyed = self._act(act, order)
+            obeyed = self._apply(act, order)
             self._lock.notify_all()
             return {
                 "obeyed": obeyed,
                 "active": self._active,
                 "staged": self._staged,
                 "previous": self._previous,
-                "held": self._limit is not None,
+                "held": self._hold_limit is not None,
                 "entered": self._entered,
                 "completed": self._completed,
                 "slots": self._maps[self._active],
@@ -113,14 +119,14 @@
                 "speed": 1.0,
             }
 
-    def _act(self, act: str, order: dict[str, Any]) -> bool:
+    def _apply(self, act: str, order: dict[str, Any]) -> bool:
         if act == "stage":
             self._staged = order["version"]
             self._maps[self._staged] = order["slots"]
         elif act == "hold":
-            self._limit = order["limit"]
+            self._hold_limit = order["limit"]
         elif act == "release":
-            self._limit = None
+            self._hold_limit = None
         elif act == "activate" and order["version"] != self._active:
             if order["version"] not in (self._staged, self._previous):
                 return False
@@ -128,7 +134,7 @@
         return True
 
     def _popularity(self) -> list[int]:
-        """Return tokens by layer and expert: the first experts are hot."""
+        """Return token counts by layer and expert; the first two are hot."""
         return [
             round(self._rng.uniform(90, 110) * (6 if expert < 2 else 1))
             for _ in range(self._layers)
@@ -137,7 +143,7 @@
 
 
 def join_group(text: str) -> FakeRank:
-    """Return a rank that steps from now on; rank 0 keeps the hub.
+    """Start a rank and return it; rank 0 also opens the hub.
 
     Args:
         text: ``HUB,RANK,RANKS,EXPERTS,LAYERS,SLOTS``.
@@ -146,7 +152,7 @@
     rank, ranks, experts, layers, slots = map(int, numbers)
     fake = FakeRank(rank, ranks, experts, layers, slots)
     if rank == 0:
-        fake.keep_hub(_open_hub(hub, ranks))
+        fake.attach_hub(_open_hub(hub, ranks))
     threading.Thread(target=fake.run, args=(hub,), daemon=True).start()
     return fake
 
@@ -158,7 +164,7 @@
         def handle(self) -> None:
             for line in self.rfile:
                 step, rank, version = json.loads(line)
-                hub.meet(step, rank, version)
+                hub.enter_step(step, rank, version)
                 self.wfile.write(b"go\n")
 
     host, _, port = address.rpartition(":")
