--- a/benchmarks/datacentre_move.py
+++ b/benchmarks/datacentre_move.py
@@ -1,6 +1,8 @@
-"""Service while a data centre leaves and returns, against baselines.
+"""Service quality while a data centre is marked out and in again.
 
 Usage: python -m benchmarks.datacentre_move [--short]
+
+Compares the product with other queue orders and with baseline routers.
 """
 
 import random
@@ -14,12 +16,12 @@
 
 from benchmarks.move_site import (
     LIMIT,
-    SETTLED,
-    SMALL,
-    TARGET,
+    SETTLE_SECONDS,
+    SMALL_WORKSPACES,
+    TARGET_SECONDS,
     MoveSite,
+    RequestRecord,
     Timing,
-    Visit,
     capacity,
 )
 from fakes.model._world import START
@@ -32,64 +34,67 @@
 from mintsaddle.fleet import Fleet, Marks
 from mintsaddle.values import Outcome
 
-LONG = Timing(20.0, 60.0, 100.0)
-SHORT = Timing(10.0, 26.0, 44.0)
+LONG_TIMING = Timing(20.0, 60.0, 100.0)
+SHORT_TIMING = Timing(10.0, 26.0, 44.0)
 LOADS = (0.6, 0.8)
-WINDOW = 10.0
+WINDOW_SECONDS = 10.0
 _SEED = 4
 
 
 class Policy(NamedTuple):
-    """A way to route and admit."""
+    """A combination of routing and admission, as patches of the product."""
 
     name: str
     patches: tuple[tuple[Any, str, Callable[..., Any]], ...]
 
 
 class Report(NamedTuple):
-    """The measures of one run."""
+    """Metrics of one run; times in seconds."""
 
     policy: str
     load: float
-    whole: int
-    cut: int
+    completed: int
+    interrupted: int
     refused: int
-    """Requests never served while their caller still came back."""
+    """Requests not served before their caller stopped retrying."""
 
-    lost: int
-    falls: int
-    """Engines that fell over under more than they bear."""
+    unanswered: int
+    crashes: int
+    """Engine crashes caused by overload."""
 
     over_limit: int
     p50: float
     p95: float
     p99: float
-    small_before: float
-    """95th percentile of small workspaces' first token before the move."""
+    small_p95_before: float
+    """95th percentile of small workspaces' first token delay; before the
+    data centre is marked out."""
+
+    small_p95_during: float
+    """The same while it is marked out."""
 
-    small_during: float
-    worst_window: float
-    """Least share of first tokens within target in any window of 10 s."""
+    worst_window_share: float
+    """Lowest share of first tokens within target in any window of 10 s."""
 
     last_admission: float
-    """Seconds from the mark to the last new admission there."""
+    """Seconds from the mark out to the last admission in that data centre."""
 
     served: float
-    """Answers of the move against what the remaining engines can bear."""
+    """Answers during the move, relative to the remaining engines' capacity."""
 
-    wave: float
-    """Most returning callers in a second against the mean."""
+    retry_peak_ratio: float
+    """Peak retries per second relative to their mean."""
 
-    warm_after: float
+    warm_up_seconds: float
     """Seconds from the mark in until the returned engines bear their share."""
 
-    gap: float
-    """95th percentile of each stream's longest pause, in s for ten tokens."""
+    gap_p95: float
+    """95th percentile of each stream's longest gap, in s for ten tokens."""
 
 
 def round_robin() -> Callable[..., str | None]:
-    """Return a router that takes turns."""
-    turns = [0]
+    """Return a router that cycles through the usable endpoints."""
+    next_index = [0]
 
     def choose(
         state: RoutingState,
@@ -100,8 +105,8 @@
         rng: random.Random,
     ) -> str | None:
         names = _usable(state, fleet, marks, request, now)
-        turns[0] += 1
-        return names[turns[0] % len(names)] if names else None
+        next_index[0] += 1
+        return names[next_index[0] % len(names)] if names else None
 
     return choose
 
@@ -128,22 +133,25 @@
         for name in request.service.endpoints
         if name not in request.tried and not marks.is_out(fleet, name)
     ]
-    rested = [name for name in names if state.view(name).blocked_until <= now]
-    return rested or names
+    unblocked = [name for name in names if state.view(name).blocked_until <= now]
+    return unblocked or names
 
 
-def warm_limit(state: AdmissionState, rules: AdmissionRules, now: float) -> int:
-    """Return the warm limit, cold engine or not."""
+def ignore_cold_limit(state: AdmissionState, rules: AdmissionRules, now: float) -> int:
+    """Return the warm limit even for a cold engine."""
     return 0 if state.engine_boot is None else rules.limit
 
 
 def by_arrival(state: AdmissionState) -> list[QueuedRequest]:
-    """Return the queue by arrival."""
+    """Return the queue in order of arrival."""
     return sorted(state.waiting.values(), key=lambda waiting: waiting.number)
 
 
 def by_fair_tags() -> Callable[[AdmissionState], list[QueuedRequest]]:
-    """Return start-time fair queueing: virtual tags of started requests."""
+    """Return an order by start-time fair queueing.
+
+    Virtual time is the highest start tag of any started request.
+    """
     tags: dict[tuple[int, str], float] = {}
     starts: dict[tuple[int, str], float] = {}
     virtual: dict[int, float] = {}
@@ -170,11 +178,11 @@
     return order
 
 
-def by_shortest() -> Callable[[AdmissionState], list[QueuedRequest]]:
-    """Return predicted-shortest-first, after the ELIS paper's ISRTF.
+def by_shortest_predicted() -> Callable[[AdmissionState], list[QueuedRequest]]:
+    """Return a shortest-predicted-first order, after ISRTF of the ELIS paper.
 
-    Predicted by a running mean for each workspace, read off what the engine
-    holds; the queue is ordered again whenever it is looked at.
+    The prediction is a running mean for each workspace, updated as requests
+    leave the engine; every read of the queue sorts it again.
     """
     means: dict[str, float] = {}
     seen: dict[str, tuple[str, float]] = {}
@@ -194,16 +202,18 @@
     return order
 
 
-_NO_COLD_LIMIT = ((admission_queries, "current_limit", warm_limit),)
+_NO_COLD_LIMIT = ((admission_queries, "current_limit", ignore_cold_limit),)
 
 
 def make_policies() -> tuple[Policy, ...]:
-    """Return the product, its other queue orders, and the baselines."""
+    """Return the product, variants with other queue orders, and baselines."""
     return (
         Policy("mintsaddle", ()),
         Policy("queue: arrival", ((admission, "order_queue", by_arrival),)),
         Policy("queue: fair tags", ((admission, "order_queue", by_fair_tags()),)),
-        Policy("queue: shortest", ((admission, "order_queue", by_shortest()),)),
+        Policy(
+            "queue: shortest", ((admission, "order_queue", by_shortest_predicted()),)
+        ),
         Policy("two choices, no cold limit", _NO_COLD_LIMIT),
         Policy(
             "round robin",
@@ -217,7 +227,7 @@
 
 
 def run_move(policy: Policy, load: float, timing: Timing, seed: int = _SEED) -> Report:
-    """Run one move and measure it."""
+    """Run one move under a policy and return its metrics."""
     with _patched(policy):
         site = MoveSite(load, timing, seed)
         site.run()
@@ -234,38 +244,40 @@
 
 
 def measure(name: str, load: float, site: MoveSite) -> Report:
-    """Return the measures of a finished move."""
+    """Return the metrics of a finished move."""
     timing = site.timing
-    letters = [visit for visit in site.visits if visit.workspace != "orders"]
-    done = [visit for visit in letters if visit.outcome is Outcome.DONE]
-    first = sorted(
-        visit.first - visit.came for visit in done if visit.first is not None
+    requests = [record for record in site.records if record.workspace != "orders"]
+    completed = [record for record in requests if record.outcome is Outcome.DONE]
+    first_token_delays = sorted(
+        record.first_token_at - record.arrived_at
+        for record in completed
+        if record.first_token_at is not None
     )
-    small = [visit for visit in done if visit.workspace in SMALL]
-    before = [v for v in small if v.came < timing.out]
-    during = [v for v in small if timing.out <= v.came < timing.back]
-    refused = sum(visit.outcome is Outcome.NOT_RUN for visit in letters)
-    cut = len(letters) - len(done) - refused
+    small = [record for record in completed if record.workspace in SMALL_WORKSPACES]
+    before = [v for v in small if v.arrived_at < timing.leave_at]
+    during = [v for v in small if timing.leave_at <= v.arrived_at < timing.return_at]
+    refused = sum(record.outcome is Outcome.NOT_RUN for record in requests)
+    interrupted = len(requests) - len(completed) - refused
     return Report(
         policy=name,
         load=load,
-        whole=len(done),
-        cut=cut,
+        completed=len(completed),
+        interrupted=interrupted,
         refused=refused,
-        lost=sum(visit.outcome is None for visit in site.visits),
-        falls=sum(engine.falls for engine in site.engines.values()),
+        unanswered=sum(record.outcome is None for record in site.records),
+        crashes=sum(engine.crashes for engine in site.engines.values()),
         over_limit=sum(run.held > run.bears for run in site.world.executions),
-        p50=percentile(first, 50),
-        p95=percentile(first, 95),
-        p99=percentile(first, 99),
-        small_before=percentile(_waits(before), 95),
-        small_during=percentile(_waits(during), 95),
-        worst_window=_worst_window(letters, timing),
+        p50=percentile(first_token_delays, 50),
+        p95=percentile(first_token_delays, 95),
+        p99=percentile(first_token_delays, 99),
+        small_p95_before=percentile(_first_token_delays(before), 95),
+        small_p95_during=percentile(_first_token_delays(during), 95),
+        worst_window_share=_worst_window_share(requests, timing),
         last_admission=_last_admission(site),
-        served=_served(site),
-        wave=_wave(site),
-        warm_after=_warm_after(site),
-        gap=percentile(sorted(visit.longest_gap for visit in done), 95),
+        served=_served_share(site),
+        retry_peak_ratio=_retry_peak_ratio(site),
+        warm_up_seconds=_warm_up_seconds(site),
+        gap_p95=percentile(sorted(record.longest_gap for record in completed), 95),
     )
 
 
@@ -276,73 +288,90 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * at / 100))]
 
 
-def _waits(visits: list[Visit]) -> list[float]:
-    return sorted(v.first - v.came for v in visits if v.first is not None)
+def _first_token_delays(records: list[RequestRecord]) -> list[float]:
+    return sorted(
+        v.first_token_at - v.arrived_at for v in records if v.first_token_at is not None
+    )
 
 
-def _worst_window(letters: list[Visit], timing: Timing) -> float:
-    """Return the least share within target, of all that came in a window."""
+def _worst_window_share(requests: list[RequestRecord], timing: Timing) -> float:
+    """Return the lowest share of a window's arrivals served within target."""
     shares = []
     start = 0.0
-    while start + WINDOW <= timing.end:
-        came = [v for v in letters if start <= v.came < start + WINDOW]
-        good = [v for v in came if v.first is not None and v.first - v.came <= TARGET]
-        shares.append(len(good) / max(1, len(came)))
-        start += WINDOW
+    while start + WINDOW_SECONDS <= timing.end_at:
+        arrivals = [
+            v for v in requests if start <= v.arrived_at < start + WINDOW_SECONDS
+        ]
+        in_target = [
+            v
+            for v in arrivals
+            if v.first_token_at is not None
+            and v.first_token_at - v.arrived_at <= TARGET_SECONDS
+        ]
+        shares.append(len(in_target) / max(1, len(arrivals)))
+        start += WINDOW_SECONDS
     return min(shares)
 
 
 def _last_admission(site: MoveSite) -> float:
-    out = site.timing.out
-    back = site.timing.back
+    leave_at = site.timing.leave_at
+    return_at = site.timing.return_at
     times = [
-        run.at - START - SETTLED - out
+        run.at - START - SETTLE_SECONDS - leave_at
         for run in site.world.executions
-        if run.endpoint.startswith("c-") and out <= run.at - START - SETTLED < back
+        if run.endpoint.startswith("c-")
+        and leave_at <= run.at - START - SETTLE_SECONDS < return_at
     ]
     return max(times, default=0.0)
 
 
-def _served(site: MoveSite) -> float:
-    """Return the share of the offered or the bearable that was served.
+def _served_share(site: MoveSite) -> float:
+    """Return answers relative to the offered load or remaining capacity.
 
-    Counted once the move has settled, ten seconds after the mark.
+    The lesser of the two is the base. Counting starts 4 s after the mark,
+    once the move has settled.
     """
-    begin = site.timing.out + 4.0
-    end = site.timing.back
-    done = sum(
-        visit.outcome is Outcome.DONE and begin <= visit.over < end
-        for visit in site.visits
-        if visit.workspace != "orders"
+    begin = site.timing.leave_at + 4.0
+    end = site.timing.return_at
+    completed = sum(
+        record.outcome is Outcome.DONE and begin <= record.ended_at < end
+        for record in site.records
+        if record.workspace != "orders"
     )
-    bearable = min(site.rate, capacity() * 2 / 3) * (end - begin)
-    return done / bearable
+    bearable = min(site.arrival_rate, capacity() * 2 / 3) * (end - begin)
+    return completed / bearable
 
 
-def _wave(site: MoveSite) -> float:
-    """Return peak over mean of returning callers a second, while out."""
+def _retry_peak_ratio(site: MoveSite) -> float:
+    """Return peak over mean of retries a second while marked out."""
     seconds = [
-        int(at) for at in site.returns if site.timing.out <= at < site.timing.back
+        int(at)
+        for at in site.retry_times
+        if site.timing.leave_at <= at < site.timing.return_at
     ]
     if not seconds:
         return 0.0
-    span = site.timing.back - site.timing.out
+    span = site.timing.return_at - site.timing.leave_at
     most = max(seconds.count(second) for second in set(seconds))
     return most / (len(seconds) / span)
 
 
-def _warm_after(site: MoveSite) -> float:
-    """Return when the slowest returned engine bears most of its share."""
-    share = min(LIMIT, site.rate / capacity() * LIMIT) * 0.9
+def _warm_up_seconds(site: MoveSite) -> float:
+    """Return when the slowest returned engine bears 0.9 of its share."""
+    share = min(LIMIT, site.arrival_rate / capacity() * LIMIT) * 0.9
     warm: dict[str, float] = {}
-    for at, name, _, bears in site.limits:
-        if name.startswith("c-letters") and at >= site.timing.back and bears >= share:
-            warm.setdefault(name, at - site.timing.back)
+    for at, name, _, bears in site.limit_samples:
+        if (
+            name.startswith("c-letters")
+            and at >= site.timing.return_at
+            and bears >= share
+        ):
+            warm.setdefault(name, at - site.timing.return_at)
     return max(warm.values(), default=0.0) if len(warm) == 4 else float("inf")
 
 
 def best_warm_up(load: float) -> float:
-    """Return how long an engine needs that always holds all that it bears."""
+    """Return the warm-up seconds of an engine kept at its limit throughout."""
     share = min(LIMIT, load * LIMIT) * 0.9
     held: list[float] = []
     now = 0.0
@@ -357,16 +386,16 @@
     return now
 
 
-def show(report: Report) -> str:
-    """Return one line of the table."""
+def format_row(report: Report) -> str:
+    """Format a report as one line of the table."""
     return (
-        f"{report.policy:27}{report.load:5.0%}{report.whole:7}{report.cut:5}"
-        f"{report.refused:6}{report.falls:6}{report.over_limit:6}"
+        f"{report.policy:27}{report.load:5.0%}{report.completed:7}{report.interrupted:5}"
+        f"{report.refused:6}{report.crashes:6}{report.over_limit:6}"
         f"{report.p50:7.2f}{report.p95:6.2f}{report.p99:6.2f}"
-        f"{report.small_before:7.2f}{report.small_during:6.2f}"
-        f"{report.worst_window:8.1%}{report.last_admission:7.2f}"
-        f"{report.served:8.1%}{report.wave:6.1f}{report.warm_after:7.1f}"
-        f"{report.gap:6.2f}"
+        f"{report.small_p95_before:7.2f}{report.small_p95_during:6.2f}"
+        f"{report.worst_window_share:8.1%}{report.last_admission:7.2f}"
+        f"{report.served:8.1%}{report.retry_peak_ratio:6.1f}{report.warm_up_seconds:7.1f}"
+        f"{report.gap_p95:6.2f}"
     )
 
 
@@ -378,13 +407,13 @@
 
 
 def main() -> None:
-    """Print the table."""
-    timing = SHORT if "--short" in sys.argv else LONG
+    """Print a line for each load and policy."""
+    timing = SHORT_TIMING if "--short" in sys.argv else LONG_TIMING
     print(HEADING)
     for load in LOADS:
         for policy in make_policies():
             started = time.perf_counter()
-            print(show(run_move(policy, load, timing)), end="")
+            print(format_row(run_move(policy, load, timing)), end="")
             print(f"  ({time.perf_counter() - started:.0f} s)", flush=True)
         print(f"an engine that is always full warms up in {best_warm_up(load):.1f} s")
 
--- a/benchmarks/lockstep.py
+++ b/benchmarks/lockstep.py
@@ -1,10 +1,11 @@
-"""Load at its worst, on emulated rank groups: policies against baselines.
+"""Routing policies against baselines under overload and rank failures.
 
 Usage: python -m benchmarks.lockstep [--short]
 
-Prints, for each load pattern and policy, the mean worth of all requests (1 on
-time, 0.5 late, 0 not served), the share served and the mean time of a pass.
-All policies meet the same callers; figures are means over seeded days.
+Runs on emulated rank groups. Prints, for each load pattern and policy, the
+mean worth of all requests (1 on time, 0.5 late, 0 not served), the share
+served and the mean time of a forward pass. All policies get the same
+arrivals; figures are means over seeded runs.
 """
 
 import itertools
@@ -28,24 +29,26 @@
 SEEDS = 8
 SHORT_SEEDS = 2
 
-BUSY = CallerModel(rate=26.0)
-"""Callers of a day of high load."""
+HIGH_LOAD_CALLERS = CallerModel(rate=26.0)
+"""Arrivals under high load."""
 
-PATTERNS = {
+LOAD_PATTERNS = {
     "calm": Day(length=30.0),
     "burst": Day(length=30.0, burst=(8.0, 12.0, 1.7)),
     "rank lost for 6 s": Day(length=40.0, outages=(Outage(12.0, 17.8),)),
     "the same, high load": Day(
-        length=40.0, outages=(Outage(12.0, 17.8),), callers=BUSY
+        length=40.0, outages=(Outage(12.0, 17.8),), callers=HIGH_LOAD_CALLERS
     ),
     "rank lost twice, high load": Day(
-        length=44.0, outages=(Outage(6.0, 8.5), Outage(22.0, 27.5)), callers=BUSY
+        length=44.0,
+        outages=(Outage(6.0, 8.5), Outage(22.0, 27.5)),
+        callers=HIGH_LOAD_CALLERS,
     ),
 }
 
 
 class Row(NamedTuple):
-    """What one policy gave its callers under one load pattern."""
+    """Mean results of one policy under one load pattern."""
 
     pattern: str
     policy: str
@@ -57,22 +60,22 @@
 def choose_least_in_flight(
     state: RoutingState, ranks: Sequence[Incarnation], now: float, rng: random.Random
 ) -> Incarnation:
-    """Choose the endpoint with the fewest own requests."""
+    """Choose the endpoint with the fewest requests from this entry."""
     del now, rng
-    return min(ranks, key=lambda one: state.view(one.name).own_in_flight)
+    return min(ranks, key=lambda rank: state.view(rank.name).own_in_flight)
 
 
-def choose_of_two(
+def choose_less_loaded_of_two(
     state: RoutingState, ranks: Sequence[Incarnation], now: float, rng: random.Random
 ) -> Incarnation:
-    """Choose the less loaded of two drawn endpoints."""
-    pair = rng.sample(list(ranks), 2)
-    return min(pair, key=lambda one: state.view(one.name).estimate_load(now))
+    """Choose the less loaded of two endpoints drawn at random."""
+    drawn = rng.sample(list(ranks), 2)
+    return min(drawn, key=lambda rank: state.view(rank.name).estimate_load(now))
 
 
 def make_policies() -> dict[str, Policy]:
-    """Return the product's policy, what it was before, and baselines."""
-    turn = itertools.count()
+    """Return the product's policy, reduced variants of it, and baselines."""
+    turns = itertools.count()
 
     def choose_in_turn(
         state: RoutingState,
@@ -81,33 +84,33 @@
         rng: random.Random,
     ) -> Incarnation:
         del state, now, rng
-        return ranks[next(turn) % len(ranks)]
+        return ranks[next(turns) % len(ranks)]
 
-    plain = PRODUCT._replace(names_urgency=False)
+    without_urgency = PRODUCT._replace(names_urgency=False)
     return {
         "mintsaddle": PRODUCT,
-        "without urgency": plain,
+        "without urgency": without_urgency,
         "without waiting": PRODUCT._replace(holds=False),
-        "round robin": plain._replace(choose=choose_in_turn),
-        "least in flight": plain._replace(choose=choose_least_in_flight),
-        "two choices": plain._replace(choose=choose_of_two),
+        "round robin": without_urgency._replace(choose=choose_in_turn),
+        "least in flight": without_urgency._replace(choose=choose_least_in_flight),
+        "two choices": without_urgency._replace(choose=choose_less_loaded_of_two),
     }
 
 
 def measure(pattern: str, name: str, policy: Policy, seeds: int) -> Row:
-    """Play a pattern's days and return their means."""
-    results = [play_day(PATTERNS[pattern], policy, seed) for seed in range(seeds)]
+    """Run a pattern with each seed and return the means."""
+    results = [play_day(LOAD_PATTERNS[pattern], policy, seed) for seed in range(seeds)]
     return Row(
         pattern,
         name,
         sum(result.worth for result in results) / seeds,
         sum(result.served for result in results) / seeds,
-        sum(mean_pass(result) for result in results) / seeds,
+        sum(mean_pass_seconds(result) for result in results) / seeds,
     )
 
 
-def mean_pass(result: DayResult) -> float:
-    """Return the mean seconds of a day's passes."""
+def mean_pass_seconds(result: DayResult) -> float:
+    """Return the mean seconds per forward pass of one run."""
     return sum(result.pass_seconds) / len(result.pass_seconds)
 
 
@@ -116,7 +119,7 @@
     seeds = SHORT_SEEDS if "--short" in arguments else SEEDS
     print("| pattern | policy | worth | served | ms a pass |")
     print("|---|---|---|---|---|")
-    for pattern in PATTERNS:
+    for pattern in LOAD_PATTERNS:
         for name, policy in make_policies().items():
             row = measure(pattern, name, policy, seeds)
             print(
--- a/benchmarks/move_site.py
+++ b/benchmarks/move_site.py
@@ -1,4 +1,4 @@
-"""The site of the data centre move: today's sizes, bursty callers."""
+"""Simulated fleet and bursty callers for the data centre move benchmark."""
 
 import math
 import random
@@ -14,63 +14,63 @@
 from mintsaddle.decisions.configuration import is_out
 from mintsaddle.values import Outcome, stable_hash
 
-CENTRES = ("a", "b", "c")
+DATA_CENTRES = ("a", "b", "c")
 ENTRIES = ("a1", "a2", "a3", "b1", "b2", "c1", "c2")
-ENGINES_EACH = 4
+ENGINES_PER_CENTRE = 4
 COLD_LIMIT = 2
 LIMIT = 32
-TARGET = 0.6
-LARGE = ("large1", "large2", "large3")
-SMALL = tuple(f"small{number}" for number in range(1, 8))
+TARGET_SECONDS = 0.6
+LARGE_WORKSPACES = ("large1", "large2", "large3")
+SMALL_WORKSPACES = tuple(f"small{number}" for number in range(1, 8))
 LARGE_SHARE = 0.75
 """Share of all arrivals that the three large workspaces make."""
 
-TOKENS_IN_CHUNK = 10
+TOKENS_PER_CHUNK = 10
 MEAN_CHUNKS = 6
-SETTLED = 4.0
-"""Seconds for daemons to start before callers come."""
+SETTLE_SECONDS = 4.0
+"""Seconds for daemons to start before callers arrive."""
 
 _BURST_SHAPE = 0.5
-_TIMEOUT = 20.0
-"""Seconds for which a refused caller comes back."""
+_RETRY_SECONDS = 20.0
+"""Seconds after its arrival for which a refused caller retries."""
 
-_LONGEST = 60.0
-"""Seconds given to each call; the longest letter takes half of them."""
+_CALL_SECONDS = 60.0
+"""Deadline of each call in seconds; the longest answer takes half of it."""
 
-_RESTART = 2.0
+_RESTART_SECONDS = 2.0
 _ORDERS_RATE = 5.0
 
 
 class Timing(NamedTuple):
-    """When what happens, in seconds after callers begin."""
+    """Times of the move's events, in seconds after callers begin."""
 
-    out: float
-    back: float
-    end: float
+    leave_at: float
+    return_at: float
+    end_at: float
 
 
-class Visit(NamedTuple):
-    """What became of one caller's request."""
+class RequestRecord(NamedTuple):
+    """Outcome and timings of one caller's request."""
 
     workspace: str
-    came: float
-    first: float | None
-    """When the first token came; None if it never did."""
+    arrived_at: float
+    first_token_at: float | None
+    """None if no token arrived."""
 
     outcome: Outcome | None
-    tries: int
+    attempts: int
     longest_gap: float
     chunks: int
-    over: float
+    ended_at: float
 
 
 class MoveEngine(Engine):
-    """An engine whose pace falls with what it holds, and which falls over."""
+    """An engine that slows down as it fills and crashes when overloaded."""
 
-    falls = 0
+    crashes = 0
 
     def chunks_of(self, work: str) -> int:
-        """Return a length that only depends on the request."""
+        """Return an answer length that depends only on the request."""
         rng = random.Random(stable_hash(work.partition("-")[0]))
         return max(1, round(rng.lognormvariate(math.log(MEAN_CHUNKS) - 0.18, 0.6)))
 
@@ -80,7 +80,7 @@
 
     def chunk_time(self) -> float:
         """Return the time of ten tokens."""
-        return TOKENS_IN_CHUNK * (0.028 + 0.0003 * self.held)
+        return TOKENS_PER_CHUNK * (0.028 + 0.0003 * self.held)
 
     def run(
         self,
@@ -89,29 +89,29 @@
         on_end: Callable[[bool], None],
         order: bool,
     ) -> None:
-        """Take a request, or fall over under too many."""
+        """Start a request; crash if more are held than the engine can bear."""
         super().run(run, on_chunk, on_end, order)  # type: ignore[arg-type]
         if self.held > self.bears:
-            self.falls += 1
+            self.crashes += 1
             self.world.after(0.0, self.die)
-            self.world.after(_RESTART, self.start)
+            self.world.after(_RESTART_SECONDS, self.start)
 
 
 class MoveSite:
-    """Three data centres, 7 entries, 12 letter engines, 3 order engines."""
+    """Three data centres, 7 entries, 12 letters engines, 3 orders engines."""
 
     def __init__(self, load: float, timing: Timing, seed: int) -> None:
         self.world = World(seed)
         self.timing = timing
-        self.rate = load * capacity()
+        self.arrival_rate = load * capacity()
         self.platform = Platform(self.world)
-        self.visits: list[Visit] = []
-        self.returns: list[float] = []
-        self.limits: list[tuple[float, str, int, int]] = []
+        self.records: list[RequestRecord] = []
+        self.retry_times: list[float] = []
+        self.limit_samples: list[tuple[float, str, int, int]] = []
         self.engines: dict[str, MoveEngine] = {}
         self.endpoints: dict[str, EndpointDaemon] = {}
-        for centre in CENTRES:
-            for number in range(1, ENGINES_EACH + 1):
+        for centre in DATA_CENTRES:
+            for number in range(1, ENGINES_PER_CENTRE + 1):
                 self._add_endpoint(f"{centre}-letters{number}", centre)
             self._add_endpoint(f"{centre}-orders", centre)
         self.entries = {
@@ -126,22 +126,26 @@
         self._count = 0
 
     def run(self) -> None:
-        """Run the whole move."""
+        """Run the move on virtual time until the last call has ended."""
         self.platform.start()
         for engine in self.engines.values():
             engine.start()
         for daemon in self._daemons.values():
             daemon.start()
-        self.platform.publish_text(1, self._text())
+        self.platform.publish_text(1, self._make_fleet_text())
         self._warm_up()
-        begin = START + SETTLED
+        begin = START + SETTLE_SECONDS
         self._schedule_callers(begin)
         timing = self.timing
-        self.world.after(SETTLED + timing.out, lambda: self._mark("out"))
-        self.world.after(SETTLED + timing.back - 5.0, self._restart_engines)
-        self.world.after(SETTLED + timing.back, lambda: self._mark("in"))
-        self.world.after(SETTLED, self._watch_limits)
-        self.world.run_until(begin + timing.end + _TIMEOUT + _LONGEST)
+        self.world.after(
+            SETTLE_SECONDS + timing.leave_at, lambda: self._publish_mark("out")
+        )
+        self.world.after(SETTLE_SECONDS + timing.return_at - 5.0, self._restart_engines)
+        self.world.after(
+            SETTLE_SECONDS + timing.return_at, lambda: self._publish_mark("in")
+        )
+        self.world.after(SETTLE_SECONDS, self._sample_limits)
+        self.world.run_until(begin + timing.end_at + _RETRY_SECONDS + _CALL_SECONDS)
 
     def _add_endpoint(self, name: str, centre: str) -> None:
         engine = MoveEngine(self.world, name, centre, COLD_LIMIT, LIMIT)
@@ -151,19 +155,19 @@
         )
 
     def _warm_up(self) -> None:
-        """Begin with warm engines: the move is what is measured."""
+        """Start with warm engines, so that only the move is measured."""
         for name, engine in self.engines.items():
             engine._served = LIMIT
-            self.world.after(1.0, self._make_warm(name))
+            self.world.after(1.0, self._raise_limit(name))
 
-    def _make_warm(self, name: str) -> Callable[[], None]:
+    def _raise_limit(self, name: str) -> Callable[[], None]:
         return lambda: self.endpoints[name].state.admission.replace_extra_limit(
             float(LIMIT)
         )
 
-    def _text(self) -> str:
+    def _make_fleet_text(self) -> str:
         parts = ["[fleet]\nname = move\nclock bound = 0.05\n"]
-        parts += [f"[data centre {name}]\nregion = r\n" for name in CENTRES]
+        parts += [f"[data centre {name}]\nregion = r\n" for name in DATA_CENTRES]
         vms = [("entry", name, name[0]) for name in ENTRIES]
         vms += [("endpoint", n, e.data_centre) for n, e in self.endpoints.items()]
         for number, (role, name, centre) in enumerate(vms, start=1):
@@ -172,7 +176,9 @@
             parts.append(f"[{role} {name}]\n{place}")
         letters = " ".join(name for name in self.endpoints if "letters" in name)
         orders = " ".join(name for name in self.endpoints if "orders" in name)
-        limits = f"cold limit = {COLD_LIMIT}\nlimit = {LIMIT}\ntarget = {TARGET}\n"
+        limits = (
+            f"cold limit = {COLD_LIMIT}\nlimit = {LIMIT}\ntarget = {TARGET_SECONDS}\n"
+        )
         parts.append(
             f"[service letters]\nendpoints = {letters}\nresume = yes\n{limits}"
         )
@@ -180,17 +186,17 @@
             f"[service orders]\nrepeat = no\nkind = plain\n"
             f"endpoints = {orders}\n{limits}"
         )
-        for name in (*LARGE, *SMALL):
+        for name in (*LARGE_WORKSPACES, *SMALL_WORKSPACES):
             parts.append(f"[workspace {name}]\nservices = letters orders\n")
         return "\n".join(parts)
 
-    def _mark(self, state: str) -> None:
+    def _publish_mark(self, state: str) -> None:
         revision = self.platform.newest_marks + 1
         text = f"[marks]\ndata centre c = {state}\n"
         self.platform.publish_marks(revision, text)
 
     def _restart_engines(self) -> None:
-        """The data centre comes back with cold engines."""
+        """Restart the engines of data centre c so that they return cold."""
         for engine in self.engines.values():
             if engine.data_centre == "c":
                 self._restart_when_idle(engine)
@@ -202,29 +208,31 @@
         engine.die()
         self.world.after(1.0, engine.start)
 
-    def _watch_limits(self) -> None:
-        self.world.after(0.1, self._watch_limits)
-        now = self.world.now - START - SETTLED
+    def _sample_limits(self) -> None:
+        self.world.after(0.1, self._sample_limits)
+        now = self.world.now - START - SETTLE_SECONDS
         for name, engine in self.engines.items():
-            self.limits.append((now, name, engine.held, engine.bears))
+            self.limit_samples.append((now, name, engine.held, engine.bears))
 
     def _schedule_callers(self, begin: float) -> None:
-        for workspace in (*LARGE, *SMALL):
-            large = workspace in LARGE
-            count = len(LARGE) if large else len(SMALL)
+        for workspace in (*LARGE_WORKSPACES, *SMALL_WORKSPACES):
+            large = workspace in LARGE_WORKSPACES
+            count = len(LARGE_WORKSPACES) if large else len(SMALL_WORKSPACES)
             share = LARGE_SHARE if large else 1.0 - LARGE_SHARE
-            self._schedule(workspace, "letters", begin, self.rate * share / count)
-        self._schedule(SMALL[0], "orders", begin, _ORDERS_RATE)
+            self._schedule(
+                workspace, "letters", begin, self.arrival_rate * share / count
+            )
+        self._schedule(SMALL_WORKSPACES[0], "orders", begin, _ORDERS_RATE)
 
     def _schedule(
         self, workspace: str, service: str, begin: float, rate: float
     ) -> None:
-        """Schedule bursty arrivals: gamma gaps with a shape under 1."""
+        """Schedule bursty arrivals: gamma gaps with a shape below 1."""
         scale = 1.0 / (rate * _BURST_SHAPE)
         at = begin
         while True:
             at += self._rng.gammavariate(_BURST_SHAPE, scale)
-            if at > begin + self.timing.end:
+            if at > begin + self.timing.end_at:
                 return
             self._count += 1
             name = f"{workspace}.{service}.{self._count}"
@@ -232,7 +240,7 @@
             self.world.after(at - self.world.now, caller.call)
 
     def pick_entry(self, rng: random.Random) -> EntryDaemon:
-        """Return an entry that passes its health check, as a balancer does."""
+        """Return a random healthy entry, as an external load balancer does."""
         healthy = [
             entry
             for entry in self.entries.values()
@@ -242,57 +250,57 @@
 
 
 class MoveCaller:
-    """One caller with one request; it comes back when told to."""
+    """A caller with one request, which it retries at the time it is given."""
 
     def __init__(
-        self, site: MoveSite, name: str, workspace: str, service: str, came: float
+        self, site: MoveSite, name: str, workspace: str, service: str, arrived_at: float
     ) -> None:
         self._site = site
         self._name = name
         self._workspace = workspace
         self._service = service
-        self._came = came
-        self._tries = 0
+        self._arrived_at = arrived_at
+        self._attempts = 0
         self._call: EntryCallModel | None = None
 
     def call(self) -> None:
-        """Make a call."""
+        """Send the request to a healthy entry."""
         site = self._site
         world = site.world
         entry = site.pick_entry(world.rng)
         fleet = entry.configuration.fleet
         assert fleet is not None
-        call_id = f"{self._name}-{self._tries}"
-        if self._tries:
-            site.returns.append(world.now - START - SETTLED)
-        self._tries += 1
+        call_id = f"{self._name}-{self._attempts}"
+        if self._attempts:
+            site.retry_times.append(world.now - START - SETTLE_SECONDS)
+        self._attempts += 1
         request = CallRequest(
             call_id,
             fleet.services[self._service],
             self._workspace,
             0,
-            world.now + _LONGEST,
+            world.now + _CALL_SECONDS,
         )
-        self._call = EntryCallModel(entry, request, call_id, False, self._hear)
+        self._call = EntryCallModel(entry, request, call_id, False, self._on_finish)
         self._call.start()
 
-    def _hear(self, finish: FinishCall | None, chunks: list[bytes]) -> None:
+    def _on_finish(self, finish: FinishCall | None, chunks: list[bytes]) -> None:
         world = self._site.world
-        back = finish.retry_at if finish else 0.0
+        retry_at = finish.retry_at if finish else 0.0
         refused = finish is not None and finish.outcome is Outcome.NOT_RUN
-        if refused and back < self._came + _TIMEOUT:
-            world.after(max(0.0, back - world.now), self.call)
+        if refused and retry_at < self._arrived_at + _RETRY_SECONDS:
+            world.after(max(0.0, retry_at - world.now), self.call)
             return
         call = self._call
         assert call is not None
-        begin = START + SETTLED
-        self._site.visits.append(
-            Visit(
+        begin = START + SETTLE_SECONDS
+        self._site.records.append(
+            RequestRecord(
                 self._workspace if self._service == "letters" else "orders",
-                self._came - begin,
+                self._arrived_at - begin,
                 None if call.first_at is None else call.first_at - begin,
                 finish.outcome if finish else None,
-                self._tries,
+                self._attempts,
                 call.longest_gap,
                 len(chunks),
                 world.now - begin,
@@ -301,8 +309,8 @@
 
 
 def capacity() -> float:
-    """Return the requests a second that all letter engines bear."""
+    """Return the requests a second that all letters engines can serve."""
     held = LIMIT
-    chunk = TOKENS_IN_CHUNK * (0.028 + 0.0003 * held)
+    chunk = TOKENS_PER_CHUNK * (0.028 + 0.0003 * held)
     seconds = 0.08 + 0.005 * held + MEAN_CHUNKS * chunk
-    return len(CENTRES) * ENGINES_EACH * LIMIT / seconds
+    return len(DATA_CENTRES) * ENGINES_PER_CENTRE * LIMIT / seconds
