--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: decisions on virtual time, and loads on real processes."""
+"""Benchmarks of decisions on virtual time and of load on real processes."""
--- a/benchmarks/datacentre_move.py
+++ b/benchmarks/datacentre_move.py
@@ -152,27 +152,27 @@
 
     Virtual time is the highest start tag of any started request.
     """
-    tags: dict[tuple[int, str], float] = {}
-    starts: dict[tuple[int, str], float] = {}
-    virtual: dict[int, float] = {}
+    finish_tags: dict[tuple[int, str], float] = {}
+    start_tags: dict[tuple[int, str], float] = {}
+    virtual_times: dict[int, float] = {}
 
     def order(state: AdmissionState) -> list[QueuedRequest]:
         engine = id(state)
         for request_id, running in state.running.items():
-            start = starts.pop((engine, request_id), None)
+            start = start_tags.pop((engine, request_id), None)
             if start is not None:
-                virtual[engine] = max(start, virtual.get(engine, 0.0))
+                virtual_times[engine] = max(start, virtual_times.get(engine, 0.0))
                 candidate = running.candidate
-                tags[engine, candidate.workspace] = start + 1.0 / candidate.share
-        ahead: Counter[str] = Counter()
+                finish_tags[engine, candidate.workspace] = start + 1.0 / candidate.share
+        queued_ahead: Counter[str] = Counter()
         for request_id, waiting in state.waiting.items():
             name = waiting.candidate.workspace
-            tag = tags.get((engine, name), 0.0) + ahead[name]
-            ahead[name] += 1
-            starts[engine, request_id] = max(tag, virtual.get(engine, 0.0))
+            tag = finish_tags.get((engine, name), 0.0) + queued_ahead[name]
+            queued_ahead[name] += 1
+            start_tags[engine, request_id] = max(tag, virtual_times.get(engine, 0.0))
         return sorted(
             state.waiting.values(),
-            key=lambda w: (starts[engine, w.candidate.request_id], w.number),
+            key=lambda w: (start_tags[engine, w.candidate.request_id], w.number),
         )
 
     return order
@@ -185,13 +185,18 @@
     leave the engine; every read of the queue sorts it again.
     """
     means: dict[str, float] = {}
-    seen: dict[str, tuple[str, float]] = {}
+    running_requests: dict[str, tuple[str, float]] = {}
 
     def order(state: AdmissionState) -> list[QueuedRequest]:
         for request_id, running in state.running.items():
-            seen[request_id] = (running.candidate.workspace, running.started_at)
-        for request_id in [name for name in seen if name not in state.running]:
-            workspace, _ = seen.pop(request_id)
+            running_requests[request_id] = (
+                running.candidate.workspace,
+                running.started_at,
+            )
+        for request_id in [
+            name for name in running_requests if name not in state.running
+        ]:
+            workspace, _ = running_requests.pop(request_id)
             mean = means.get(workspace, state.mean_service_time)
             means[workspace] = mean + 0.1 * (state.mean_service_time - mean)
         return sorted(
--- a/benchmarks/direct.py
+++ b/benchmarks/direct.py
@@ -1,6 +1,6 @@
-"""Slopes of a direct entry: what grows with endpoints, entries and workspaces.
+"""Costs of direct mode as endpoints, entries, workspaces and ranks grow.
 
-Run as ``python -m benchmarks.direct``; prints one row for each slope.
+Run as ``python -m benchmarks.direct``; prints one row for each cost.
 """
 
 import json
@@ -35,51 +35,51 @@
 
 
 class Row(NamedTuple):
-    """One slope at two sizes."""
+    """One cost at two sizes."""
 
-    what: str
+    measurement: str
     small: str
     large: str
 
 
-def measure_seconds(act: Callable[[], object]) -> float:
-    """Return the mean time of a call."""
-    began = time.process_time()
+def measure_seconds(operation: Callable[[], object]) -> float:
+    """Return the mean CPU seconds of a call."""
+    started = time.process_time()
     for _ in range(_ROUNDS):
-        act()
-    return (time.process_time() - began) / _ROUNDS
+        operation()
+    return (time.process_time() - started) / _ROUNDS
 
 
 def choose_microseconds(endpoints: int) -> float:
-    """Return the time to choose one of some endpoints."""
+    """Return the time to choose one of a number of endpoints."""
     state = RoutingState("entry", "a")
     rng = random.Random(1)
-    places = [
+    incarnations = [
         Incarnation(f"e-{number}", "llm", "10.0.0.1:80", "a", 6, False, 0.0, 1)
         for number in range(endpoints)
     ]
 
     def choose() -> object:
-        return choose_incarnation(state, places, frozenset(), 1.0, rng)
+        return choose_incarnation(state, incarnations, frozenset(), 1.0, rng)
 
     return measure_seconds(choose) * 1e6
 
 
-def hello_bytes(entries: int) -> int:
-    """Return the size of one message to a peer."""
-    members = Membership("e-0", "10.0.0.1:80", [])
+def entry_hello_bytes(entries: int) -> int:
+    """Return the size of an ``EntryHello`` from an entry that knows others."""
+    membership = Membership("e-0", "10.0.0.1:80", [])
     for number in range(entries):
-        members.record_entry(
+        membership.record_entry(
             KnownEntry(f"edge-dk-east-a-{number}", "10.10.10.10:8080", 1.0)
         )
     hello = pb.EntryHello(vm="edge-dk-east-a-0", address="10.10.10.10:8080")
-    for entry in members.most_recent_entries(1.0):
+    for entry in membership.most_recent_entries(1.0):
         hello.entries.add(vm=entry.vm, address=entry.address, age=0.5)
     return hello.ByteSize()
 
 
-def make_table(routes: int, workspaces: int) -> bytes:
-    """Return a published configuration."""
+def make_configuration(routes: int, workspaces: int) -> bytes:
+    """Return a published configuration as JSON."""
     values = {
         "version": 1,
         "routes": [
@@ -103,13 +103,13 @@
 
 
 def decode_milliseconds(routes: int, workspaces: int) -> float:
-    """Return the time to decode a table."""
-    item = PublishedItem("op/config", 1, make_table(routes, workspaces))
+    """Return the time to decode a published configuration."""
+    item = PublishedItem("op/config", 1, make_configuration(routes, workspaces))
     return measure_seconds(lambda: decode_items([item], 1.0)) * 1e3
 
 
 def announcement_bytes(endpoints: int) -> float:
-    """Return the memory that one endpoint takes in the replica."""
+    """Return the replica's memory per endpoint announcement."""
     tracemalloc.start()
     replica = Replica("p/")
     value = b"x" * 320
@@ -126,57 +126,63 @@
 
 
 def make_items(endpoints: int, routes: int, workspaces: int) -> list[PublishedItem]:
-    """Return all that is published: announcements and a table."""
+    """Return all published items: announcements, then the configuration."""
     items = [
         PublishedItem(f"servers/i-{number}", number + 1, b"%320d" % number)
         for number in range(endpoints)
     ]
-    table = make_table(routes, workspaces)
-    return [*items, PublishedItem("op/config", endpoints + 1, table)]
+    configuration = make_configuration(routes, workspaces)
+    return [*items, PublishedItem("op/config", endpoints + 1, configuration)]
 
 
-def whole_copy_kilobytes(endpoints: int, routes: int, workspaces: int) -> float:
-    """Return the size of a whole copy, as a follower gets it."""
-    *announced, table = make_items(endpoints, routes, workspaces)
+def full_copy_kilobytes(endpoints: int, routes: int, workspaces: int) -> float:
+    """Return the size of a full copy as sent to a follower.
+
+    Only the configuration is compressed.
+    """
+    *announced, configuration = make_items(endpoints, routes, workspaces)
     size = sum(len(item.key) + len(item.value or b"") for item in announced)
-    return (size + len(zlib.compress(table.value or b""))) / 1e3
+    return (size + len(zlib.compress(configuration.value or b""))) / 1e3
 
 
 def restore_milliseconds(endpoints: int) -> float:
-    """Return the time to find that the store was restored, and to follow."""
+    """Return the time to detect a restored store and replace the replica."""
     items = make_items(endpoints, 1, 1)
     restored = [item._replace(revision=1) for item in items]
 
-    def follow() -> None:
+    def resynchronise() -> None:
         replica = Replica("")
         replica.replace(items, Position(0, endpoints + 1))
-        asked = replica.position
-        assert replica.is_contradicted(restored, asked, asked.revision)
+        requested = replica.position
+        assert replica.is_contradicted(restored, requested, requested.revision)
         replica.replace(restored, Position(1, 1))
 
-    return measure_seconds(follow) * 1e3
+    return measure_seconds(resynchronise) * 1e3
 
 
-def spread_milliseconds(ranks: int, experts: int, layers: int) -> float:
-    """Return the time to plan a map with one expert that is hot."""
-    first = make_first_map(0, ranks, experts, layers, -(-experts // ranks))
+def plan_milliseconds(ranks: int, experts: int, layers: int) -> float:
+    """Return the time to plan copies of hot experts, by skewed popularity."""
+    first_map = make_first_map(0, ranks, experts, layers, -(-experts // ranks))
     popularity = [[1.0 / (1 + e) ** 1.3 for e in range(experts)]] * layers
     limits = choose_limits(-(-experts // ranks) + 3, 4, 0.1)
-    return measure_seconds(lambda: spread_experts(1, first, popularity, limits)) * 1e3
+    return (
+        measure_seconds(lambda: spread_experts(1, first_map, popularity, limits)) * 1e3
+    )
 
 
 def switch_kilobytes(ranks: int, experts: int, layers: int) -> float:
-    """Return what the orders of one switch take: each rank gets the whole map.
+    """Return the size of the orders of one switch; each has the whole map.
 
-    A rank is given its prepare twice, which tells when its weights are there.
+    Each rank gets its prepare order twice: the second reply tells whether the
+    weights are loaded.
     """
-    first = make_first_map(0, ranks, experts, layers, -(-experts // ranks))
-    text = json.dumps(first.layers, separators=(",", ":"))
-    return 2 * ranks * len(text) / 1e3
+    first_map = make_first_map(0, ranks, experts, layers, -(-experts // ranks))
+    encoded_map = json.dumps(first_map.layers, separators=(",", ":"))
+    return 2 * ranks * len(encoded_map) / 1e3
 
 
 def make_counts(experts: int, layers: int, times: int) -> list[list[int]]:
-    """Return counts of experts as they stand after some time."""
+    """Return random cumulative expert counts that grow with ``times``."""
     rng = random.Random(times)
     return [
         [rng.randrange(900, 1100) * times for _ in range(experts)]
@@ -184,23 +190,23 @@
     ]
 
 
-def look_bytes(experts: int, layers: int) -> int:
-    """Return the size of an agent's reply with a report and counts."""
+def poll_reply_bytes(experts: int, layers: int) -> int:
+    """Return the size of an agent's reply to a poll: a report and counts."""
     body = json.dumps({"counts": make_counts(experts, layers, 100)})
     report = json.dumps({"group": {"name": "g", "epoch": 1}, "step": 812, "map": 7})
     answers = (RankResponse(200, report), RankResponse(200, body))
     return len(encode_reply(AgentReply(1, answers)))
 
 
-def look_milliseconds(experts: int, layers: int, counted: int) -> float:
-    """Return the time to take the counts of one poll into the popularity."""
+def poll_milliseconds(experts: int, layers: int, ranks: int) -> float:
+    """Return the time to update the popularity from the counts of one poll."""
     watch = MapWatch(1, layers, experts, 0.12)
     rounds = iter(range(1, 10_000))
 
     def poll() -> None:
         times = next(rounds)
         counts = make_counts(experts, layers, times)
-        for rank in range(counted):
+        for rank in range(ranks):
             watch.record_counts(rank, counts)
         watch.update_popularity(float(times))
 
@@ -208,7 +214,7 @@
 
 
 def measure() -> tuple[Row, ...]:
-    """Return all slopes."""
+    """Return all costs at both sizes."""
     return (
         Row(
             "choice of an endpoint",
@@ -217,8 +223,8 @@
         ),
         Row(
             "message to a peer",
-            f"{hello_bytes(7)} bytes with 7 entries",
-            f"{hello_bytes(340)} bytes with 340",
+            f"{entry_hello_bytes(7)} bytes with 7 entries",
+            f"{entry_hello_bytes(340)} bytes with 340",
         ),
         Row(
             "decoding a table",
@@ -232,8 +238,8 @@
         ),
         Row(
             "a whole copy for a follower, table packed",
-            f"{whole_copy_kilobytes(15, 115, 10):.1f} KB, 15 endpoints, 115 routes",
-            f"{whole_copy_kilobytes(820, 500, 4700):.0f} KB, 820 endpoints, 500 routes",
+            f"{full_copy_kilobytes(15, 115, 10):.1f} KB, 15 endpoints, 115 routes",
+            f"{full_copy_kilobytes(820, 500, 4700):.0f} KB, 820 endpoints, 500 routes",
         ),
         Row(
             "taking a restored store over",
@@ -242,18 +248,18 @@
         ),
         Row(
             "planning copies of hot experts",
-            f"{spread_milliseconds(12, 96, 3):.1f} ms, 12 ranks, 96 experts, 3 layers",
-            f"{spread_milliseconds(128, 256, 8):.1f} ms, 128 ranks, 256, 8 layers",
+            f"{plan_milliseconds(12, 96, 3):.1f} ms, 12 ranks, 96 experts, 3 layers",
+            f"{plan_milliseconds(128, 256, 8):.1f} ms, 128 ranks, 256, 8 layers",
         ),
         Row(
             "reply of a rank's agent, with counts",
-            f"{look_bytes(96, 3) / 1e3:.1f} KB, 96 experts, 3 layers",
-            f"{look_bytes(256, 8) / 1e3:.1f} KB, 256 experts, 8 layers",
+            f"{poll_reply_bytes(96, 3) / 1e3:.1f} KB, 96 experts, 3 layers",
+            f"{poll_reply_bytes(256, 8) / 1e3:.1f} KB, 256 experts, 8 layers",
         ),
         Row(
             "taking the counts of a poll",
-            f"{look_milliseconds(96, 3, 12):.1f} ms of 12 ranks, 96, 3 layers",
-            f"{look_milliseconds(256, 8, 7):.1f} ms of 7 ranks, 256, 8 layers",
+            f"{poll_milliseconds(96, 3, 12):.1f} ms of 12 ranks, 96, 3 layers",
+            f"{poll_milliseconds(256, 8, 7):.1f} ms of 7 ranks, 256, 8 layers",
         ),
         Row(
             "orders of one switch of a map",
