--- a/benchmarks/lockstep.py
+++ b/benchmarks/lockstep.py
@@ -16,11 +16,11 @@
 from fakes.lockstep import (
     PRODUCT,
     CallerModel,
-    Day,
-    DayResult,
     Outage,
     Policy,
-    play_day,
+    Scenario,
+    ScenarioResult,
+    run_scenario,
 )
 from mintsaddle.decisions.direct import Incarnation
 from mintsaddle.decisions.routing import RoutingState
@@ -32,14 +32,14 @@
 """Callers of a day of high load."""
 
 PATTERNS = {
-    "calm": Day(length=30.0),
-    "burst": Day(length=30.0, burst=(8.0, 12.0, 1.7)),
-    "rank lost for 6 s": Day(length=40.0, outages=(Outage(12.0, 17.8),)),
-    "the same, high load": Day(
-        length=40.0, outages=(Outage(12.0, 17.8),), callers=BUSY
+    "calm": Scenario(duration=30.0),
+    "burst": Scenario(duration=30.0, burst=(8.0, 12.0, 1.7)),
+    "rank lost for 6 s": Scenario(duration=40.0, outages=(Outage(12.0, 17.8),)),
+    "the same, high load": Scenario(
+        duration=40.0, outages=(Outage(12.0, 17.8),), callers=BUSY
     ),
-    "rank lost twice, high load": Day(
-        length=44.0, outages=(Outage(6.0, 8.5), Outage(22.0, 27.5)), callers=BUSY
+    "rank lost twice, high load": Scenario(
+        duration=44.0, outages=(Outage(6.0, 8.5), Outage(22.0, 27.5)), callers=BUSY
     ),
 }
 
@@ -83,11 +83,11 @@
         del state, now, rng
         return ranks[next(turn) % len(ranks)]
 
-    plain = PRODUCT._replace(names_urgency=False)
+    plain = PRODUCT._replace(sets_urgency=False)
     return {
         "mintsaddle": PRODUCT,
         "without urgency": plain,
-        "without waiting": PRODUCT._replace(holds=False),
+        "without waiting": PRODUCT._replace(holds_requests=False),
         "round robin": plain._replace(choose=choose_in_turn),
         "least in flight": plain._replace(choose=choose_least_in_flight),
         "two choices": plain._replace(choose=choose_of_two),
@@ -96,17 +96,17 @@
 
 def measure(pattern: str, name: str, policy: Policy, seeds: int) -> Row:
     """Play a pattern's days and return their means."""
-    results = [play_day(PATTERNS[pattern], policy, seed) for seed in range(seeds)]
+    results = [run_scenario(PATTERNS[pattern], policy, seed) for seed in range(seeds)]
     return Row(
         pattern,
         name,
-        sum(result.worth for result in results) / seeds,
+        sum(result.score for result in results) / seeds,
         sum(result.served for result in results) / seeds,
         sum(mean_pass(result) for result in results) / seeds,
     )
 
 
-def mean_pass(result: DayResult) -> float:
+def mean_pass(result: ScenarioResult) -> float:
     """Return the mean seconds of a day's passes."""
     return sum(result.pass_seconds) / len(result.pass_seconds)
 
--- a/fakes/lockstep/__init__.py
+++ b/fakes/lockstep/__init__.py
@@ -1,27 +1,32 @@
-"""An emulator of rank groups that run in lock-step, on virtual time.
+"""An emulator of rank groups that run in lockstep, on virtual time.
 
-It drives the decisions of direct delivery with callers that leave and come
-back; what it leaves out is listed in docs/DESIGN.md.
+It exercises the decisions of direct delivery with callers that time out and
+retry. Its limits are listed in docs/DESIGN.md.
 """
 
-from fakes.lockstep._callers import CallerModel, Visit
-from fakes.lockstep._day import Day, DayResult, Outage, play_day
-from fakes.lockstep._entry import PRODUCT, ChooseRank, Policy, pick_product
-from fakes.lockstep._group import EngineModel, RankGroup, Work, WorkEnd
+from fakes.lockstep._callers import CallerModel, CallerRequest
+from fakes.lockstep._day import Outage, Scenario, ScenarioResult, run_scenario
+from fakes.lockstep._entry import PRODUCT, ChooseRank, Policy, choose_as_product
+from fakes.lockstep._group import (
+    EngineModel,
+    EngineRequest,
+    EngineRequestEnd,
+    RankGroup,
+)
 
 __all__ = [
     "PRODUCT",
     "CallerModel",
+    "CallerRequest",
     "ChooseRank",
-    "Day",
-    "DayResult",
     "EngineModel",
+    "EngineRequest",
+    "EngineRequestEnd",
     "Outage",
     "Policy",
     "RankGroup",
-    "Visit",
-    "Work",
-    "WorkEnd",
-    "pick_product",
-    "play_day",
+    "Scenario",
+    "ScenarioResult",
+    "choose_as_product",
+    "run_scenario",
 ]
--- a/fakes/lockstep/_day.py
+++ b/fakes/lockstep/_day.py
@@ -1,145 +1,159 @@
-"""A day of load: arrivals, outages, what the callers got."""
+"""A load scenario: arrivals, outages and the results that callers get."""
 
 import random
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from fakes.lockstep._callers import CallerModel, Visit
+from fakes.lockstep._callers import CallerModel, CallerRequest
 from fakes.lockstep._entry import Entry, Policy
 from fakes.lockstep._group import EngineModel, RankGroup
 from fakes.model._world import START, World
 
 ENTRIES = 7
-_OPEN_LOOK = 0.15
+_MAX_REPORT_DELAY = 0.15
+"""Longest time in seconds until an entry learns that the group is open."""
 
 
 class Outage(NamedTuple):
-    """A rank that is lost for a while."""
+    """The loss of a rank, in seconds from the start of the scenario."""
 
     at: float
     until: float
 
 
-class Day(NamedTuple):
-    """What happens."""
+class Scenario(NamedTuple):
+    """The load, outages and expert-map changes of one run."""
+
+    duration: float = 40.0
+    """Seconds during which requests arrive."""
 
-    length: float = 40.0
     outages: Sequence[Outage] = ()
     burst: tuple[float, float, float] = (0.0, 0.0, 1.0)
-    """From, until, and times the usual rate."""
+    """Start and end in seconds, and the factor applied to the arrival rate."""
 
     callers: CallerModel = CallerModel()
     engines: EngineModel = EngineModel()
-    good_skew: float = 1.5
-    """Slowest rank over the mean with a map that fits."""
+    current_map_skew: float = 1.5
+    """Load of the slowest rank over the mean with an up-to-date map."""
 
-    bad_skew: float = 3.3
-    """The same for as long as the map is behind."""
+    stale_map_skew: float = 3.3
+    """Load of the slowest rank over the mean with an outdated map."""
 
-    shift_gap: float = 3.5
-    """Seconds between two changes of popularity."""
+    popularity_interval: float = 3.5
+    """Seconds between two changes of expert popularity."""
 
     map_delay: float = 1.3
-    """Seconds until a map follows; after an outage twice that."""
+    """Seconds until the map follows a change; twice that after an outage."""
 
 
-class DayResult(NamedTuple):
-    """What the callers of a day got."""
+class ScenarioResult(NamedTuple):
+    """The requests and pass durations of one run."""
 
-    visits: list[Visit]
+    requests: list[CallerRequest]
     pass_seconds: list[float]
 
     @property
-    def worth(self) -> float:
-        """Mean worth of all requests."""
-        return sum(visit.worth for visit in self.visits) / len(self.visits)
+    def score(self) -> float:
+        """Mean score of all requests."""
+        return sum(request.score for request in self.requests) / len(self.requests)
 
     @property
     def served(self) -> float:
-        """Share of requests that got a whole answer."""
-        return sum(visit.is_served for visit in self.visits) / len(self.visits)
+        """Share of requests that got a complete answer."""
+        return sum(request.is_served for request in self.requests) / len(self.requests)
 
-    def worth_between(self, begin: float, end: float) -> float:
-        """Return the mean worth of those that came within some seconds."""
-        came = [v for v in self.visits if begin <= v.came - START < end]
-        return sum(visit.worth for visit in came) / max(1, len(came))
+    def score_between(self, begin: float, end: float) -> float:
+        """Return the mean score of requests that arrive in a time range."""
+        arrived = [r for r in self.requests if begin <= r.arrived_at - START < end]
+        return sum(request.score for request in arrived) / max(1, len(arrived))
 
 
-def play_day(day: Day, policy: Policy, seed: int) -> DayResult:
-    """Play a day and return what its callers got."""
+def run_scenario(scenario: Scenario, policy: Policy, seed: int) -> ScenarioResult:
+    """Run a scenario and return the results of its callers."""
     world = World(seed)
-    # Arrivals have a source of their own: all policies meet the same callers.
+    # Arrivals use a separate generator, so that every policy gets the same
+    # requests.
     rng = random.Random(seed)
-    group = RankGroup(world, day.engines, _make_skew(day))
+    group = RankGroup(world, scenario.engines, _make_skew(scenario))
     entries = [
-        Entry(world, f"e{number}", group, day.engines.ranks, policy)
+        Entry(world, f"e{number}", group, scenario.engines.ranks, policy)
         for number in range(ENTRIES)
     ]
-    for outage in day.outages:
-        _plan_outage(world, group, entries, outage)
-    visits: list[Visit] = []
-    _plan_arrivals(world, day, entries, visits, rng)
-    world.run_until(START + day.length + 2 * day.callers.deadline)
-    return DayResult(visits, group.pass_seconds)
+    for outage in scenario.outages:
+        _schedule_outage(world, group, entries, outage)
+    requests: list[CallerRequest] = []
+    _schedule_arrivals(world, scenario, entries, requests, rng)
+    world.run_until(START + scenario.duration + 2 * scenario.callers.deadline)
+    return ScenarioResult(requests, group.pass_seconds)
 
 
-def _make_skew(day: Day) -> Callable[[float], float]:
+def _make_skew(scenario: Scenario) -> Callable[[float], float]:
     def skew(now: float) -> float:
         at = now - START
-        opened = [outage.until for outage in day.outages if at >= outage.until]
-        is_fresh = bool(opened) and at - opened[-1] < 2 * day.map_delay
-        is_behind = at % day.shift_gap < day.map_delay
-        return day.bad_skew if is_behind or is_fresh else day.good_skew
+        ended = [outage.until for outage in scenario.outages if at >= outage.until]
+        is_recovering = bool(ended) and at - ended[-1] < 2 * scenario.map_delay
+        is_stale = at % scenario.popularity_interval < scenario.map_delay
+        return (
+            scenario.stale_map_skew
+            if is_stale or is_recovering
+            else scenario.current_map_skew
+        )
 
     return skew
 
 
-def _plan_outage(
+def _schedule_outage(
     world: World, group: RankGroup, entries: Sequence[Entry], outage: Outage
 ) -> None:
-    def learn() -> None:
+    def notify_entries() -> None:
         for entry in entries:
-            delay = _OPEN_LOOK * world.rng.random()
+            delay = _MAX_REPORT_DELAY * world.rng.random()
             world.after(delay, entry.record_open)
 
-    world.after(outage.at, group.lose)
-    world.after(outage.until, lambda: group.come_back(learn))
+    world.after(outage.at, group.lose_rank)
+    world.after(outage.until, lambda: group.restore_rank(notify_entries))
 
 
-def _plan_arrivals(
+def _schedule_arrivals(
     world: World,
-    day: Day,
+    scenario: Scenario,
     entries: Sequence[Entry],
-    visits: list[Visit],
+    requests: list[CallerRequest],
     rng: random.Random,
 ) -> None:
-    begin, end, times = day.burst
+    begin, end, factor = scenario.burst
 
     def arrive() -> None:
-        visit = Visit(world, day.callers, rng)
-        visits.append(visit)
-        _attempt(world, visit, entries)
-        plan_next()
+        request = CallerRequest(world, scenario.callers, rng)
+        requests.append(request)
+        _start_attempt(world, request, entries)
+        schedule_next()
 
-    def plan_next() -> None:
+    def schedule_next() -> None:
         at = world.now - START
-        rate = day.callers.rate * (times if begin <= at < end else 1.0)
+        rate = scenario.callers.rate * (factor if begin <= at < end else 1.0)
         delay = rng.expovariate(rate)
-        if at + delay < day.length:
+        if at + delay < scenario.duration:
             world.after(delay, arrive)
 
-    plan_next()
+    schedule_next()
+
 
+def _start_attempt(
+    world: World, request: CallerRequest, entries: Sequence[Entry]
+) -> None:
+    """Send a request to a random entry unless its retries or time are spent.
 
-def _attempt(world: World, visit: Visit, entries: Sequence[Entry]) -> None:
-    """Ask an entry; come back once if it refuses or falls silent."""
-    if visit.is_over:
+    The entry schedules the next attempt when it refuses the request or the
+    caller abandons the attempt.
+    """
+    if request.is_finished:
         return
-    if visit.attempts > visit.model.retries or world.now >= visit.ends_at:
-        visit.is_over = True
+    if request.attempts > request.model.retries or world.now >= request.deadline:
+        request.is_finished = True
         return
 
-    def come_back(seconds: float) -> None:
-        world.after(seconds, lambda: _attempt(world, visit, entries))
+    def retry_after(seconds: float) -> None:
+        world.after(seconds, lambda: _start_attempt(world, request, entries))
 
-    world.rng.choice(entries).take(visit, come_back)
+    world.rng.choice(entries).serve(request, retry_after)
--- a/fakes/lockstep/_entry.py
+++ b/fakes/lockstep/_entry.py
@@ -1,11 +1,11 @@
-"""An entry of the emulator: the product's decisions, carried by callbacks."""
+"""An entry of the emulator: callbacks around the product's decisions."""
 
 import random
 from collections.abc import Callable, Sequence
 from typing import NamedTuple, TypeAlias
 
-from fakes.lockstep._callers import Visit
-from fakes.lockstep._group import RankGroup, Work, WorkEnd
+from fakes.lockstep._callers import CallerRequest
+from fakes.lockstep._group import EngineRequest, EngineRequestEnd, RankGroup
 from fakes.model._world import World
 from mintsaddle.decisions.direct import (
     Destination,
@@ -30,6 +30,8 @@
 from mintsaddle.values import Load
 
 POLL_SECONDS = 0.05
+"""Interval at which a held request checks whether its group is up."""
+
 GROUP = "g"
 ROUTE = Route(
     name="draft",
@@ -49,30 +51,32 @@
 ChooseRank: TypeAlias = Callable[
     [RoutingState, Sequence[Incarnation], float, random.Random], Incarnation | None
 ]
-"""Chooses among endpoints, as the product or a baseline does."""
+"""Chooses the endpoint of a request among the ranks of a group."""
 
 
 class Policy(NamedTuple):
-    """What an entry does."""
+    """How an entry chooses ranks and treats requests."""
 
     choose: ChooseRank
-    names_urgency: bool = True
-    holds: bool = True
+    sets_urgency: bool = True
+    """Whether requests carry an urgency; else all have urgency 0."""
+
+    holds_requests: bool = True
     """Whether requests wait while the group is down."""
 
 
-def pick_product(
+def choose_as_product(
     state: RoutingState, ranks: Sequence[Incarnation], now: float, rng: random.Random
 ) -> Incarnation | None:
-    """Choose as the product does."""
+    """Choose a rank by the product's own decision."""
     return choose_incarnation(state, ranks, frozenset(), now, rng)
 
 
-PRODUCT = Policy(pick_product)
+PRODUCT = Policy(choose_as_product)
 
 
 class Entry:
-    """One entry before one group."""
+    """One entry that forwards requests to one group."""
 
     def __init__(
         self, world: World, name: str, group: RankGroup, ranks: int, policy: Policy
@@ -81,130 +85,142 @@
         self._group = group
         self._policy = policy
         self._state = RoutingState(name, "a")
-        self._beliefs = GroupAvailability()
+        self._availability = GroupAvailability()
         self._deadlines = RouteDeadlines()
         self._ranks = [
-            Incarnation(f"r{rank}", "llm", "", "a", 6, False, 0.0, 1, place)
+            Incarnation(f"r{rank}", "llm", "", "a", 6, False, 0.0, 1, assignment)
             for rank in range(ranks)
-            for place in [RankAssignment(GROUP, 1, rank, ranks, True)]
+            for assignment in [RankAssignment(GROUP, 1, rank, ranks, True)]
         ]
 
     def record_open(self) -> None:
-        """Learn from a report that the group has formed anew."""
-        self._beliefs.record_report(GROUP, self._group.epoch, True, self._world.now)
+        """Record a report that the group is open in its current epoch."""
+        self._availability.record_report(
+            GROUP, self._group.epoch, True, self._world.now
+        )
 
-    def take(self, visit: Visit, on_refusal: Callable[[float], None]) -> None:
-        """Serve an attempt of a caller.
+    def serve(
+        self, request: CallerRequest, schedule_retry: Callable[[float], None]
+    ) -> None:
+        """Serve one attempt of a caller.
 
         Args:
-            visit: The caller's request.
-            on_refusal: Told the seconds after which to come back.
+            request: The caller's request.
+            schedule_retry: Called with the seconds after which to retry, when
+                the attempt is refused or abandoned.
         """
         now = self._world.now
-        left = min(ROUTE.timeout, visit.ends_at - now)
-        self._deadlines.note(ROUTE.name, left)
-        is_returning = self._deadlines.is_returning(ROUTE.name, left)
+        seconds_left = min(ROUTE.timeout, request.deadline - now)
+        self._deadlines.note(ROUTE.name, seconds_left)
+        is_returning = self._deadlines.is_returning(ROUTE.name, seconds_left)
         call = DirectCall(
             "id",
             ROUTE,
             "llm",
             "",
             arrived_at=now,
-            deadline=now + left,
+            deadline=now + seconds_left,
             due_at=now if is_returning else now + ROUTE.objective,
             priority=ROUTE.priority,
         )
-        serving = _Serving(call, visit, on_refusal)
-        visit.begin_attempt(lambda: serving.cancel())
-        self._try(serving)
+        attempt = _Attempt(call, request, schedule_retry)
+        request.begin_attempt(lambda: attempt.cancel())
+        self._dispatch(attempt)
 
-    def _try(self, serving: "_Serving") -> None:
+    def _dispatch(self, attempt: "_Attempt") -> None:
         now = self._world.now
-        if serving.is_left:
+        if attempt.is_abandoned:
             return
-        if self._beliefs.is_down(GROUP):
-            if self._policy.holds and now < hold_until(serving.call):
-                self._world.after(POLL_SECONDS, lambda: self._try(serving))
+        if self._availability.is_down(GROUP):
+            if self._policy.holds_requests and now < hold_until(attempt.call):
+                self._world.after(POLL_SECONDS, lambda: self._dispatch(attempt))
             else:
-                self._refuse(serving, 4.0)
+                self._refuse(attempt, 4.0)
             return
         chosen = self._policy.choose(self._state, self._ranks, now, self._world.rng)
         if chosen is None:
-            self._refuse(serving, 0.5)
+            self._refuse(attempt, 0.5)
             return
-        self._send(serving, chosen)
+        self._send(attempt, chosen)
 
-    def _send(self, serving: "_Serving", chosen: Incarnation) -> None:
+    def _send(self, attempt: "_Attempt", chosen: Incarnation) -> None:
         name = chosen.name
         rank = chosen.place.rank if chosen.place else 0
         record_sent(self._state, name)
-        serving.call = serving.call._replace(sends=serving.call.sends + 1)
-        visit = serving.visit
+        attempt.call = attempt.call._replace(sends=attempt.call.sends + 1)
+        request = attempt.request
         urgency = 0
-        if self._policy.names_urgency:
-            urgency = choose_urgency(serving.call, self._world.now)
+        if self._policy.sets_urgency:
+            urgency = choose_urgency(attempt.call, self._world.now)
 
         def on_event() -> None:
-            if not serving.call.response_started:
-                serving.call = serving.call._replace(response_started=True)
+            if not attempt.call.response_started:
+                attempt.call = attempt.call._replace(response_started=True)
                 running, waiting = self._group.load(rank)
                 load = Load(running, chosen.slots, waiting, leaving=False)
                 record_load(self._state, name, 0, load, self._world.now)
-            visit.record_event(leave)
+            request.record_event(abandon)
 
-        def on_end(end: WorkEnd) -> None:
+        def on_end(end: EngineRequestEnd) -> None:
             record_finished(self._state, name)
-            self._end(serving, end)
+            self._end(attempt, end)
 
-        def leave() -> None:
-            self._group.cancel(work)
+        def abandon() -> None:
+            self._group.cancel(engine_request)
             record_finished(self._state, name)
-            serving.leave()
-
-        rest = visit.events - visit.events_seen
-        work = Work(visit.prompt, rest, urgency, on_event, on_end)
-        serving.cancel = leave
-        self._group.submit(rank, work)
-
-    def _end(self, serving: "_Serving", end: WorkEnd) -> None:
-        visit = serving.visit
-        if end is WorkEnd.DONE:
-            visit.stop_watching()
-            visit.is_over = visit.is_served = True
+            attempt.abandon()
+
+        events_left = request.events - request.events_received
+        engine_request = EngineRequest(
+            request.prompt, events_left, urgency, on_event, on_end
+        )
+        attempt.cancel = abandon
+        self._group.submit(rank, engine_request)
+
+    def _end(self, attempt: "_Attempt", end: EngineRequestEnd) -> None:
+        request = attempt.request
+        if end is EngineRequestEnd.DONE:
+            request.cancel_timer()
+            request.is_finished = request.is_served = True
             return
         if not self._group.is_open:
-            self._beliefs.record_refusal(GROUP, self._group.epoch, self._world.now)
-        if serving.call.response_started:
-            # The stream breaks off; its caller comes back on its own.
-            serving.leave()
-        elif serving.call.sends < ROUTE.max_attempts or not self._group.is_open:
-            self._try(serving)
+            self._availability.record_refusal(GROUP, self._group.epoch, self._world.now)
+        if attempt.call.response_started:
+            # The stream is interrupted; its caller retries by itself.
+            attempt.abandon()
+        elif attempt.call.sends < ROUTE.max_attempts or not self._group.is_open:
+            self._dispatch(attempt)
         else:
-            self._refuse(serving, 0.5)
-
-    def _refuse(self, serving: "_Serving", wished: float) -> None:
-        visit = serving.visit
-        visit.stop_watching()
-        visit.refusals += 1
-        left = visit.ends_at - self._world.now
-        serving.on_refusal(advise_retry(left, wished, self._world.rng))
+            self._refuse(attempt, 0.5)
+
+    def _refuse(self, attempt: "_Attempt", suggested_delay: float) -> None:
+        request = attempt.request
+        request.cancel_timer()
+        request.refusals += 1
+        seconds_left = request.deadline - self._world.now
+        attempt.schedule_retry(
+            advise_retry(seconds_left, suggested_delay, self._world.rng)
+        )
 
 
-class _Serving:
+class _Attempt:
     """One attempt of a caller at an entry."""
 
     def __init__(
-        self, call: DirectCall, visit: Visit, on_refusal: Callable[[float], None]
+        self,
+        call: DirectCall,
+        request: CallerRequest,
+        schedule_retry: Callable[[float], None],
     ) -> None:
         self.call = call
-        self.visit = visit
-        self.on_refusal = on_refusal
-        self.is_left = False
-        self.cancel: Callable[[], None] = self.leave
-
-    def leave(self) -> None:
-        """The caller has left this attempt; it comes back if it may."""
-        if not self.is_left:
-            self.is_left = True
-            self.visit.stop_watching()
-            self.on_refusal(0.0)
+        self.request = request
+        self.schedule_retry = schedule_retry
+        self.is_abandoned = False
+        self.cancel: Callable[[], None] = self.abandon
+
+    def abandon(self) -> None:
+        """Give up this attempt and let the caller retry at once."""
+        if not self.is_abandoned:
+            self.is_abandoned = True
+            self.request.cancel_timer()
+            self.schedule_retry(0.0)
--- a/fakes/lockstep/_group.py
+++ b/fakes/lockstep/_group.py
@@ -1,4 +1,4 @@
-"""A group of model engines: passes, places, reading and writing, stalls."""
+"""A group of model engines: passes, queues, prefill, decoding and stalls."""
 
 import enum
 from collections.abc import Callable
@@ -8,52 +8,55 @@
 
 
 class EngineModel(NamedTuple):
-    """An engine's published timing."""
+    """Published timing and limits of an engine; times are in seconds."""
 
     ranks: int = 12
     slots: int = 6
+    """Requests that run on one engine at most."""
+
     queue: int = 12
     """Requests that wait at one engine at most."""
 
     step: float = 0.00585
-    """Seconds of a step without any request."""
+    """Duration of a step without any request."""
 
-    per_writer: float = 0.00085
-    """Seconds of a step for each request that is writing: the published 0.36
-    ms times 2.4, since a stream stands for several samples of a prompt; fitted
-    to passes of 52 ms with 45 requests and 86 ms with 52 and an old map."""
+    decode_step: float = 0.00085
+    """Duration that each decoding request adds to a step.
 
-    stride: int = 5
-    """Steps of a pass."""
+    The published 0.36 ms times 2.4, since a stream stands for several samples
+    of a prompt. Fitted to passes of 52 ms with 45 requests and of 86 ms with
+    52 requests and an outdated map.
+    """
 
-    read_rate: float = 61_200.0
-    """Prompt tokens read in a second."""
+    steps_per_pass: int = 5
+    prefill_rate: float = 61_200.0
+    """Prompt tokens processed per second."""
 
-    chunk: int = 512
-    """Prompt tokens read in a step at most."""
+    prefill_chunk: int = 512
+    """Prompt tokens processed in a step at most."""
 
     expert_share: float = 0.85
-    """Share of the work for tokens that experts do."""
+    """Share of the per-token work that experts do."""
 
-    stall: float = 1.5
-    """Seconds that work waits for a lost rank before it is cut off."""
+    stall_timeout: float = 1.5
+    """Time that work waits for a lost rank before it is interrupted."""
 
-    form: float = 0.6
-    """Seconds from a rank's return until the group opens."""
+    restore_delay: float = 0.6
+    """Time from a rank's return until the group is open."""
 
 
-class WorkEnd(enum.Enum):
-    """How a request's work at an engine ended."""
+class EngineRequestEnd(enum.Enum):
+    """How a request ended at an engine."""
 
     DONE = "done"
-    CUT = "cut"
-    """It had begun when the group broke off."""
+    INTERRUPTED = "cut"
+    """The request was running when the group lost a rank."""
 
     REFUSED = "refused"
-    """It never began: the engine is full, or its group is lost."""
+    """The request never ran: the queue was full or a rank was lost."""
 
 
-class Work:
+class EngineRequest:
     """One request at an engine."""
 
     def __init__(
@@ -62,20 +65,20 @@
         events: int,
         urgency: int,
         on_event: Callable[[], None],
-        on_end: Callable[[WorkEnd], None],
+        on_end: Callable[[EngineRequestEnd], None],
     ) -> None:
-        self.unread = prompt
+        self.prompt_left = prompt
         self.events = events
         self.urgency = urgency
         self.on_event = on_event
         self.on_end = on_end
-        self.is_over = False
+        self.is_finished = False
 
 
-class _Rank:
+class _Engine:
     def __init__(self) -> None:
-        self.running: list[Work] = []
-        self.waiting: list[Work] = []
+        self.running: list[EngineRequest] = []
+        self.waiting: list[EngineRequest] = []
 
 
 class RankGroup:
@@ -84,126 +87,141 @@
     def __init__(
         self, world: World, model: EngineModel, skew: Callable[[float], float]
     ) -> None:
-        """Make an idle, open group.
+        """Create an idle, open group.
 
         Args:
             world: Virtual time.
             model: The engines' timing.
-            skew: Most loaded rank over the mean at an instant.
+            skew: Load of the most loaded rank over the mean at an instant.
         """
         self._world = world
         self._model = model
         self._skew = skew
-        self._ranks = [_Rank() for _ in range(model.ranks)]
-        self._is_passing = False
+        self._engines = [_Engine() for _ in range(model.ranks)]
+        self._is_pass_running = False
         self.is_open = True
         self.epoch = 1
         self.pass_seconds: list[float] = []
 
     def load(self, rank: int) -> tuple[int, int]:
-        """Return the running and waiting requests of a rank."""
-        one = self._ranks[rank]
-        return len(one.running), len(one.waiting)
+        """Return the number of running and waiting requests of a rank."""
+        engine = self._engines[rank]
+        return len(engine.running), len(engine.waiting)
 
-    def submit(self, rank: int, work: Work) -> None:
-        """Take a request, or refuse it when the rank is full."""
-        one = self._ranks[rank]
+    def submit(self, rank: int, request: EngineRequest) -> None:
+        """Queue a request, or refuse it when the rank's queue is full."""
+        engine = self._engines[rank]
         if not self.is_open:
-            # Whoever comes while a rank is lost stalls before it is refused.
+            # A request sent while a rank is lost stalls before it is refused.
             self._world.after(
-                self._model.stall, lambda: self._end(work, WorkEnd.REFUSED)
+                self._model.stall_timeout,
+                lambda: self._end(request, EngineRequestEnd.REFUSED),
             )
             return
-        if len(one.waiting) >= self._model.queue:
-            self._end(work, WorkEnd.REFUSED)
+        if len(engine.waiting) >= self._model.queue:
+            self._end(request, EngineRequestEnd.REFUSED)
             return
-        one.waiting.append(work)
-        if not self._is_passing:
+        engine.waiting.append(request)
+        if not self._is_pass_running:
             self._begin_pass()
 
-    def cancel(self, work: Work) -> None:
-        """Drop a request whose caller has left."""
-        work.is_over = True
-        for one in self._ranks:
-            if work in one.running:
-                one.running.remove(work)
-            if work in one.waiting:
-                one.waiting.remove(work)
-
-    def lose(self) -> None:
-        """Lose a rank: all work stalls and is then cut off or refused."""
+    def cancel(self, request: EngineRequest) -> None:
+        """Remove a request whose caller has left."""
+        request.is_finished = True
+        for engine in self._engines:
+            if request in engine.running:
+                engine.running.remove(request)
+            if request in engine.waiting:
+                engine.waiting.remove(request)
+
+    def lose_rank(self) -> None:
+        """Lose a rank: all requests stall, then are interrupted or refused."""
         self.is_open = False
-        held = [w for one in self._ranks for w in one.running]
-        queued = [w for one in self._ranks for w in one.waiting]
-        for one in self._ranks:
-            one.running, one.waiting = [], []
-        self._world.after(self._model.stall, lambda: self._end_all(held, queued))
-
-    def come_back(self, on_open: Callable[[], None]) -> None:
-        """Form anew with the lost rank."""
-
-        def form() -> None:
+        running = [r for engine in self._engines for r in engine.running]
+        waiting = [r for engine in self._engines for r in engine.waiting]
+        for engine in self._engines:
+            engine.running, engine.waiting = [], []
+        self._world.after(
+            self._model.stall_timeout, lambda: self._end_all(running, waiting)
+        )
+
+    def restore_rank(self, on_open: Callable[[], None]) -> None:
+        """Form the group again, with the lost rank, in a new epoch."""
+
+        def reopen() -> None:
             self.is_open = True
             self.epoch += 1
             on_open()
 
-        self._world.after(self._model.form, form)
+        self._world.after(self._model.restore_delay, reopen)
 
     def _begin_pass(self) -> None:
-        for one in self._ranks:
-            one.waiting.sort(key=lambda work: work.urgency)
-            while one.waiting and len(one.running) < self._model.slots:
-                one.running.append(one.waiting.pop(0))
-        self._is_passing = any(one.running for one in self._ranks)
-        if not self._is_passing:
+        for engine in self._engines:
+            engine.waiting.sort(key=lambda request: request.urgency)
+            while engine.waiting and len(engine.running) < self._model.slots:
+                engine.running.append(engine.waiting.pop(0))
+        self._is_pass_running = any(engine.running for engine in self._engines)
+        if not self._is_pass_running:
             return
-        writers = [[w for w in one.running if w.unread <= 0] for one in self._ranks]
+        decoding = [
+            [r for r in engine.running if r.prompt_left <= 0]
+            for engine in self._engines
+        ]
         seconds = self._pass_seconds()
         self.pass_seconds.append(seconds)
-        self._world.after(seconds, lambda: self._end_pass(writers))
+        self._world.after(seconds, lambda: self._end_pass(decoding))
 
     def _pass_seconds(self) -> float:
         model = self._model
-        own = [self._read_and_count(one) for one in self._ranks]
-        mean = sum(own) / len(own)
-        dense = (1.0 - model.expert_share) * max(own)
+        token_seconds = [self._prefill(engine) for engine in self._engines]
+        mean = sum(token_seconds) / len(token_seconds)
+        dense = (1.0 - model.expert_share) * max(token_seconds)
         experts = model.expert_share * mean * self._skew(self._world.now)
-        return model.stride * model.step + dense + experts
+        return model.steps_per_pass * model.step + dense + experts
+
+    def _prefill(self, engine: _Engine) -> float:
+        """Process the prompts of one pass.
 
-    def _read_and_count(self, one: _Rank) -> float:
-        """Read prompts for one pass; return the rank's work for tokens."""
+        Returns:
+            Seconds of per-token work of the engine, decoding included.
+        """
         model = self._model
-        writing = sum(work.unread <= 0 for work in one.running)
-        budget = model.chunk * model.stride
-        read = 0
-        for work in one.running:
-            taken = min(max(0, work.unread), budget - read)
-            work.unread -= taken
-            read += taken
-        return model.stride * model.per_writer * writing + read / model.read_rate
-
-    def _end_pass(self, writers: list[list[Work]]) -> None:
+        decoding = sum(request.prompt_left <= 0 for request in engine.running)
+        budget = model.prefill_chunk * model.steps_per_pass
+        processed = 0
+        for request in engine.running:
+            tokens = min(max(0, request.prompt_left), budget - processed)
+            request.prompt_left -= tokens
+            processed += tokens
+        return (
+            model.steps_per_pass * model.decode_step * decoding
+            + processed / model.prefill_rate
+        )
+
+    def _end_pass(self, decoding: list[list[EngineRequest]]) -> None:
         if not self.is_open:
-            self._is_passing = False
+            self._is_pass_running = False
             return
-        for one, writing in zip(self._ranks, writers, strict=True):
-            for work in writing:
-                if work.is_over or work not in one.running:
+        for engine, requests in zip(self._engines, decoding, strict=True):
+            for request in requests:
+                if request.is_finished or request not in engine.running:
                     continue
-                work.events -= 1
-                work.on_event()
-                if work.events <= 0 and work in one.running:
-                    one.running.remove(work)
-                    self._end(work, WorkEnd.DONE)
+                request.events -= 1
+                request.on_event()
+                if request.events <= 0 and request in engine.running:
+                    engine.running.remove(request)
+                    self._end(request, EngineRequestEnd.DONE)
         self._begin_pass()
 
-    def _end_all(self, held: list[Work], queued: list[Work]) -> None:
-        for work in held:
-            self._end(work, WorkEnd.CUT)
-        for work in queued:
-            self._end(work, WorkEnd.REFUSED)
-
-    def _end(self, work: Work, end: WorkEnd) -> None:
-        if not work.is_over:
-            work.is_over = True
-            work.on_end(end)
+    def _end_all(
+        self, running: list[EngineRequest], waiting: list[EngineRequest]
+    ) -> None:
+        for request in running:
+            self._end(request, EngineRequestEnd.INTERRUPTED)
+        for request in waiting:
+            self._end(request, EngineRequestEnd.REFUSED)
+
+    def _end(self, request: EngineRequest, end: EngineRequestEnd) -> None:
+        if not request.is_finished:
+            request.is_finished = True
+            request.on_end(end)
