--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,8 @@
-"""Settings of the test run (always the same examples) and known failures."""
+"""Hypothesis profiles and the handling of known test failures.
+
+The default profile derandomizes Hypothesis, so that each run uses the same
+examples.
+"""
 
 import pytest
 from hypothesis import settings
@@ -13,7 +17,7 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Expect exactly the listed tests to fail; one that passes is an error."""
+    """Mark the listed tests as strict xfail: one that passes is an error."""
     known = read_known_red(config.rootpath)
     for item in items:
         if item.nodeid in known:
@@ -23,6 +27,6 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Print the known failures, so that no green run hides them."""
+    """Print the known failures, so that a passing run does not hide them."""
     for test in read_known_red(config.rootpath):
         terminalreporter.write_line(f"KNOWN-RED {test}")
--- a/fakes/__init__.py
+++ b/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for platform, engines and services; for tests only."""
+"""Test doubles for the platform, engines and services."""
--- a/fakes/demo.py
+++ b/fakes/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a small site, called and checked from outside."""
+"""A demonstration that calls a small site and checks its responses."""
 
 import random
 import sys
@@ -6,7 +6,7 @@
 import uuid
 from datetime import UTC, datetime, timedelta
 
-from fakes.site import Answer, Site, VmPlan
+from fakes.site import Response, Site, VmPlan
 
 SERVICES = """
 [service letters]
@@ -59,123 +59,146 @@
 )
 
 _HEADERS = {"Workspace": "counter", "Timeout": "10"}
-_WAIT = 10.0
+_WAIT_SECONDS = 10.0
 
 
 class Demo:
-    """One run of the demonstration and what differed in it."""
+    """One run of the demonstration and the checks that failed in it."""
 
     def __init__(self) -> None:
-        self._site = Site(PLANS, bootstrapped(SERVICES))
-        self._differences: list[str] = []
+        self._site = Site(PLANS, fill_bootstrap_date(SERVICES))
+        self._failures: list[str] = []
 
     def run(self) -> int:
-        """Run everything; return the exit code."""
+        """Run all checks and return the exit code."""
         try:
             self._start()
-            self._show_stream()
-            self._show_lookup()
-            self._show_order()
-            self._show_marks()
-            self._show_group()
+            self._check_stream()
+            self._check_lookup()
+            self._check_order()
+            self._check_marks()
+            self._check_group()
         finally:
             self._site.stop()
-        for difference in self._differences:
-            print(f"DIFFERS: {difference}")
-        print("demo failed" if self._differences else "demo passed")
-        return 1 if self._differences else 0
+        for failure in self._failures:
+            print(f"DIFFERS: {failure}")
+        print("demo failed" if self._failures else "demo passed")
+        return 1 if self._failures else 0
 
-    def _check(self, what: str, *, good: bool, shown: object) -> None:
-        print(f"{what}: {shown}")
-        if not good:
-            self._differences.append(f"{what}: {shown}")
+    def _check(self, what: str, *, passed: bool, result: object) -> None:
+        print(f"{what}: {result}")
+        if not passed:
+            self._failures.append(f"{what}: {result}")
 
     def _start(self) -> None:
         self._site.start()
         self._site.publish("fleet", 7, self._site.fleet_text())
         self._site.wait_until_serving()
-        print("two data centres serve")
+        print("both data centres are serving")
 
-    def _show_stream(self) -> None:
+    def _check_stream(self) -> None:
         body = {"tokens": 20, "pace": 0.01}
-        answer = self._call("dk1-entry", "/letters/draft", body)
-        whole = answer.outcome == "done" and len(answer.events) == 20
-        shown = f"{answer.outcome}, {len(answer.events)} tokens"
-        self._check("streamed letter draft", good=whole, shown=shown)
+        response = self._call("dk1-entry", "/letters/draft", body)
+        complete = response.outcome == "done" and len(response.events) == 20
+        result = f"{response.outcome}, {len(response.events)} tokens"
+        self._check("streamed letter draft", passed=complete, result=result)
 
-    def _show_lookup(self) -> None:
-        answer = self._call("dk2-entry", "/history/clamp/4", {"clamp": 4})
+    def _check_lookup(self) -> None:
+        response = self._call("dk2-entry", "/history/clamp/4", {"clamp": 4})
         self._check(
-            "history lookup", good=answer.outcome == "done", shown=answer.outcome
+            "history lookup", passed=response.outcome == "done", result=response.outcome
         )
 
-    def _show_order(self) -> None:
-        issued = self._settled_call("dk1-entry", "/redirections/keys", {})
+    def _check_order(self) -> None:
+        issued = self._call_until_decided("dk1-entry", "/redirections/keys", {})
         key = issued.headers.get("Idempotency-Key", "")
-        self._order_twice("order with an issued key", key)
-        self._order_twice("order with a brought key", self._brought_key())
+        self._check_repeated_order("order with an issued key", key)
+        self._check_repeated_order(
+            "order with a caller's key", self._create_caller_key()
+        )
 
-    def _order_twice(self, what: str, key: str) -> None:
+    def _check_repeated_order(self, what: str, key: str) -> None:
         headers = {"Idempotency-Key": key}
-        first = self._settled_call("dk1-entry", "/redirections/new", headers)
+        first = self._call_until_decided("dk1-entry", "/redirections/new", headers)
         second = self._call("dk2-entry", "/redirections/new", {"to": "Aarhus"}, headers)
         runs = sum(
             self._site.executions(name)["executions"].get(key, 0)
             for name in ("dk1-orders", "dk2-orders")
         )
         same = first.body == second.body
-        good = (first.outcome, second.outcome, runs, same) == ("done", "done", 1, True)
-        shown = f"{first.outcome}, again {second.outcome}, ran {runs}, same {same}"
-        self._check(what, good=good, shown=shown)
-
-    def _settled_call(self, entry: str, path: str, headers: dict[str, str]) -> Answer:
-        """Call until the homes have agreed, as a caller does."""
-        deadline = time.monotonic() + _WAIT
+        passed = (first.outcome, second.outcome, runs, same) == (
+            "done",
+            "done",
+            1,
+            True,
+        )
+        result = f"{first.outcome}, again {second.outcome}, ran {runs}, same {same}"
+        self._check(what, passed=passed, result=result)
+
+    def _call_until_decided(
+        self, entry: str, path: str, headers: dict[str, str]
+    ) -> Response:
+        """Repeat a call as long as its outcome is ``ask-again``."""
+        deadline = time.monotonic() + _WAIT_SECONDS
         while True:
-            answer = self._call(entry, path, {"to": "Aarhus"}, headers)
-            if answer.outcome != "ask-again" or time.monotonic() > deadline:
-                return answer
+            response = self._call(entry, path, {"to": "Aarhus"}, headers)
+            if response.outcome != "ask-again" or time.monotonic() > deadline:
+                return response
             time.sleep(0.2)
 
-    def _brought_key(self) -> str:
-        """Draw a key as a caller does, once the homes take new ones."""
+    def _create_caller_key(self) -> str:
+        """Wait until the homes accept new keys and return a caller's key."""
         time.sleep(1.0)
         return uuid7()
 
-    def _show_marks(self) -> None:
+    def _check_marks(self) -> None:
         self._site.publish("marks", 1, "[marks]\ndata centre dk1 = out\n")
         seconds = self._site.wait_for_health("dk1-entry", 503)
-        self._check("dk1 out", good=seconds < 3, shown=f"after {seconds:.2f} s")
-        before = self._runs("dk1-engine1") + self._runs("dk1-engine2")
+        self._check("dk1 out", passed=seconds < 3, result=f"after {seconds:.2f} s")
+        before = self._execution_count("dk1-engine1") + self._execution_count(
+            "dk1-engine2"
+        )
         body = {"tokens": 3}
-        answers = [self._call("dk2-entry", "/letters/draft", body) for _ in range(6)]
-        outcomes = {answer.outcome for answer in answers}
-        added = self._runs("dk1-engine1") + self._runs("dk1-engine2") - before
-        good = outcomes == {"done"} and added == 0
-        self._check("calls while dk1 is out", good=good, shown=f"{outcomes}, {added}")
+        responses = [self._call("dk2-entry", "/letters/draft", body) for _ in range(6)]
+        outcomes = {response.outcome for response in responses}
+        added = (
+            self._execution_count("dk1-engine1")
+            + self._execution_count("dk1-engine2")
+            - before
+        )
+        passed = outcomes == {"done"} and added == 0
+        self._check(
+            "calls while dk1 is out", passed=passed, result=f"{outcomes}, {added}"
+        )
         self._site.publish("marks", 2, "[marks]\ndata centre dk1 = in\n")
         seconds = self._site.wait_for_health("dk1-entry", 200)
-        self._check("dk1 in", good=seconds < 3, shown=f"after {seconds:.2f} s")
-        answer = self._call("dk1-entry", "/letters/draft", body)
-        self._check("call after", good=answer.outcome == "done", shown=answer.outcome)
+        self._check("dk1 in", passed=seconds < 3, result=f"after {seconds:.2f} s")
+        response = self._call("dk1-entry", "/letters/draft", body)
+        self._check(
+            "call after dk1 is in",
+            passed=response.outcome == "done",
+            result=response.outcome,
+        )
 
-    def _show_group(self) -> None:
-        """Wait until the group works on a planned map, all ranks on one."""
+    def _check_group(self) -> None:
+        """Check that all ranks of the group switch to the same planned map."""
         ranks = [plan.name for plan in PLANS if plan.rank is not None]
-        deadline = time.monotonic() + _WAIT
+        deadline = time.monotonic() + _WAIT_SECONDS
         while True:
-            shown = [self._site.executions(name) for name in ranks]
-            maps = {item["map"] for item in shown}
+            counters = [self._site.executions(name) for name in ranks]
+            maps = {item["map"] for item in counters}
             settled = len(maps) == 1 and max(maps) > 1
             if settled or time.monotonic() > deadline:
                 break
             time.sleep(0.1)
-        mixed = shown[0]["mixed"]
-        good = settled and mixed == 0 and shown[0]["steps"] > 0
-        text = f"{len(maps)} map on 4 ranks, {shown[0]['steps']} steps, {mixed} mixed"
-        self._check("expert map of the group", good=good, shown=text)
+        mixed = counters[0]["mixed"]
+        passed = settled and mixed == 0 and counters[0]["steps"] > 0
+        text = (
+            f"{len(maps)} map on 4 ranks, {counters[0]['steps']} steps, {mixed} mixed"
+        )
+        self._check("expert map of the group", passed=passed, result=text)
 
-    def _runs(self, endpoint: str) -> int:
+    def _execution_count(self, endpoint: str) -> int:
         return sum(self._site.executions(endpoint)["executions"].values())
 
     def _call(
@@ -184,23 +207,23 @@
         path: str,
         body: object,
         headers: dict[str, str] | None = None,
-    ) -> Answer:
+    ) -> Response:
         merged = {**_HEADERS, **(headers or {})}
         return self._site.call(entry, "POST", path, body, merged)
 
 
-def bootstrapped(services: str) -> str:
-    """Fill in a bootstrap date later than the start of any daemon.
+def fill_bootstrap_date(services: str) -> str:
+    """Fill in a bootstrap date that is later than the start of any daemon.
 
-    A person who builds a site writes the time at which the text is published;
-    here the text is published seconds from now.
+    An operator sets the date to the time at which the text is published; here
+    the text is published seconds from now.
     """
     moment = datetime.now(UTC) + timedelta(seconds=30)
     return services.format(bootstrap=moment.isoformat(timespec="seconds"))
 
 
 def uuid7() -> str:
-    """Return a UUIDv7 as a caller's library draws it (RFC 9562)."""
+    """Return a UUIDv7 (RFC 9562), as a caller's library generates it."""
     number = int(time.time() * 1000) << 80 | 7 << 76 | random.getrandbits(12) << 64
     return str(uuid.UUID(int=number | 2 << 62 | random.getrandbits(62)))
 
--- a/fakes/site.py
+++ b/fakes/site.py
@@ -1,4 +1,7 @@
-"""A small site on loopback: real daemons and stand-ins as processes."""
+"""A small site on loopback.
+
+The real daemons and stand-ins for the platform and engines run as processes.
+"""
 
 import http.client
 import itertools
@@ -15,17 +18,21 @@
 from typing import Any, NamedTuple
 
 GROUP_EXPERTS = 8
+"""Experts of a site's group."""
+
 GROUP_LAYERS = 2
+"""Layers of a site's group."""
+
 GROUP_SLOTS = 3
-"""The size of a site's group."""
+"""Slots of each rank in a site's group."""
 
-_STARTING = 20.0
-_STOPPING = 10.0
-_PAUSE = 0.02
+_START_TIMEOUT = 20.0
+_STOP_TIMEOUT = 10.0
+_POLL_INTERVAL = 0.02
 
 
 class VmPlan(NamedTuple):
-    """One VM of the site."""
+    """One VM of the site and what runs on it."""
 
     name: str
     data_centre: str
@@ -33,14 +40,14 @@
     """``entry`` or ``endpoint``."""
 
     cold_limit: int = 1000
-    """What a stand-in engine bears when cold."""
+    """Requests that the stand-in engine can hold when it is cold."""
 
     rank: int | None = None
-    """Its rank in the site's group, if it is in it."""
+    """Rank in the site's group; None if the VM is not in the group."""
 
 
-class Answer(NamedTuple):
-    """An HTTP answer as a caller sees it."""
+class Response(NamedTuple):
+    """An HTTP response as a caller receives it."""
 
     status: int
     headers: Mapping[str, str]
@@ -48,61 +55,64 @@
 
     @property
     def outcome(self) -> str:
-        """The claim: from the header, or from the end event of a stream."""
+        """The outcome from the header, or from the end event of a stream.
+
+        It is ``cut`` if a stream has no end event.
+        """
         outcome = self.headers.get("Mintsaddle-Outcome", "")
         if outcome != "see-end":
             return outcome
-        end = self.end
-        return str(end["outcome"]) if end else "cut"
+        end_event = self.end_event
+        return str(end_event["outcome"]) if end_event else "cut"
 
     @property
-    def end(self) -> dict[str, Any] | None:
-        """The end event of a stream; None if it was cut."""
+    def end_event(self) -> dict[str, Any] | None:
+        """The end event of a stream; None if the stream was interrupted."""
         _, marker, rest = self.body.rpartition(b"event: end\ndata: ")
         return json.loads(rest) if marker else None
 
     @property
     def events(self) -> list[str]:
-        """The data of each event before the end."""
+        """The data of each event before the end event."""
         parts = self.body.decode().split("\n\n")
         return [part[6:] for part in parts if part.startswith("data: ")]
 
 
 class Site:
-    """The processes of one site, each known by its process id."""
+    """The daemons, engines and platform of a site, run as processes."""
 
     def __init__(self, plans: Sequence[VmPlan], services: str) -> None:
         self._plans = {plan.name: plan for plan in plans}
         self._services = services
-        self._folder = tempfile.TemporaryDirectory(prefix="mintsaddle-")
+        self._directory = tempfile.TemporaryDirectory(prefix="mintsaddle-")
         self._processes: dict[str, subprocess.Popen[str]] = {}
         entries = [plan.name for plan in plans if plan.role == "entry"]
         endpoints = [plan.name for plan in plans if plan.role == "endpoint"]
-        places = iter(free_addresses(2 * len(plans) + 2))
-        self._hub = next(places)
-        self._addresses = {plan.name: next(places) for plan in plans}
-        self._http = {name: next(places) for name in entries}
-        self._engines = {name: next(places) for name in endpoints}
-        self._platform = next(places)
+        unused = iter(free_addresses(2 * len(plans) + 2))
+        self._hub = next(unused)
+        self._addresses = {plan.name: next(unused) for plan in plans}
+        self._http = {name: next(unused) for name in entries}
+        self._engines = {name: next(unused) for name in endpoints}
+        self._platform = next(unused)
 
     @property
     def addresses(self) -> Mapping[str, str]:
-        """Where each daemon is reached by others."""
+        """The address at which each daemon serves other daemons."""
         return self._addresses
 
     @property
     def platform(self) -> str:
-        """Where the platform stand-in is reached."""
+        """The address of the platform stand-in."""
         return self._platform
 
     @property
     def engines(self) -> Mapping[str, str]:
-        """Where each endpoint's engine is reached."""
+        """The address of each endpoint's engine."""
         return self._engines
 
     @property
     def http(self) -> Mapping[str, str]:
-        """Where each entry serves callers."""
+        """The address at which each entry serves callers."""
         return self._http
 
     def start(self) -> None:
@@ -115,7 +125,7 @@
             self.start_daemon(name)
 
     def start_platform(self) -> None:
-        """Start the platform stand-in, with nothing published."""
+        """Start the platform stand-in without any published value."""
         self._start_stand_in("platform", "fakes.platform", self._platform)
 
     def start_engine(self, endpoint: str) -> None:
@@ -132,7 +142,7 @@
         self._start_stand_in(name, "fakes.engine", address, *arguments)
 
     def start_daemon(self, name: str, peers: str = "") -> None:
-        """Start a daemon from settings written for it."""
+        """Write the settings of a daemon and start it."""
         plan = self._plans[name]
         lines = [
             "[daemon]",
@@ -148,18 +158,18 @@
             lines += [f"http = {self._http[name]}", "grace = 0.5", "threads = 128"]
         else:
             lines += [f"engine = {self._engines[name]}"]
-        settings = Path(self._folder.name, f"{name}.ini")
+        settings = Path(self._directory.name, f"{name}.ini")
         settings.write_text("\n".join(lines) + "\n")
         program = "import sys; from mintsaddle.program import main; sys.exit(main())"
         command = [sys.executable, "-c", program, "--settings", str(settings)]
-        with Path(self._folder.name, f"{name}.log").open("a") as log:
+        with Path(self._directory.name, f"{name}.log").open("a") as log:
             process = subprocess.Popen(
                 command, stdout=log, stderr=subprocess.STDOUT, text=True
             )
         self._processes[name] = process
 
     def fleet_text(self, extra: str = "") -> str:
-        """Return the fleet text of the site."""
+        """Return the fleet text of the site, followed by ``extra``."""
         parts = ["[fleet]\nname = site\nclock bound = 0.05\n"]
         for centre in dict.fromkeys(p.data_centre for p in self._plans.values()):
             parts.append(f"[data centre {centre}]\nregion = loopback\n")
@@ -191,17 +201,24 @@
             self.wait_for_health(name, 200)
 
     def wait_for_health(self, name: str, status: int) -> float:
-        """Return the seconds until an entry's health check shows a status."""
+        """Wait until an entry's health check returns a status.
+
+        Returns:
+            The seconds waited.
+
+        Raises:
+            TimeoutError: The status was not returned in time.
+        """
         started = time.monotonic()
-        while time.monotonic() - started < _STARTING:
+        while time.monotonic() - started < _START_TIMEOUT:
             try:
                 if self.call(name, "GET", "/health").status == status:
                     return time.monotonic() - started
             except OSError:
                 pass
-            time.sleep(_PAUSE)
-        log = Path(self._folder.name, f"{name}.log").read_text()
-        raise TimeoutError(f"{name} shows no status {status}\n{log}")
+            time.sleep(_POLL_INTERVAL)
+        log = Path(self._directory.name, f"{name}.log").read_text()
+        raise TimeoutError(f"{name} did not return health status {status}\n{log}")
 
     def call(
         self,
@@ -210,7 +227,7 @@
         path: str,
         body: object = None,
         headers: Mapping[str, str] | None = None,
-    ) -> Answer:
+    ) -> Response:
         """Call an entry as a caller does."""
         connection = http.client.HTTPConnection(self._http[entry], timeout=40)
         try:
@@ -218,48 +235,48 @@
             connection.request(method, path, data, dict(headers or {}))
             response = connection.getresponse()
             content = response.read()
-            return Answer(response.status, dict(response.headers), content)
+            return Response(response.status, dict(response.headers), content)
         finally:
             connection.close()
 
     def executions(self, endpoint: str) -> dict[str, Any]:
-        """Return what an endpoint's engine has run."""
+        """Return the counters of an endpoint's engine."""
         connection = http.client.HTTPConnection(self._engines[endpoint], timeout=5)
         connection.request("GET", "/executions")
-        answer: dict[str, Any] = json.loads(connection.getresponse().read())
+        counters: dict[str, Any] = json.loads(connection.getresponse().read())
         connection.close()
-        return answer
+        return counters
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process that this site has started."""
+        """Send a signal to a process of this site."""
         self._processes[name].send_signal(number)
 
     def wait_for_exit(self, name: str) -> int:
-        """Return the exit code of a process that was told to stop."""
-        return self._processes[name].wait(_STARTING)
+        """Wait until a process exits and return its exit code."""
+        return self._processes[name].wait(_START_TIMEOUT)
 
     def pid(self, name: str) -> int:
-        """Return a process id."""
+        """Return the id of a process."""
         return self._processes[name].pid
 
     def log(self, name: str) -> str:
-        """Return what a daemon has logged."""
-        return Path(self._folder.name, f"{name}.log").read_text()
+        """Return the log of a daemon."""
+        return Path(self._directory.name, f"{name}.log").read_text()
 
     def stop(self) -> None:
-        """Stop everything that was started, by process id."""
+        """Stop all processes of the site and delete its files."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
-        deadline = time.monotonic() + _STOPPING
+        deadline = time.monotonic() + _STOP_TIMEOUT
         for process in self._processes.values():
             try:
                 process.wait(max(0.1, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
-        self._folder.cleanup()
+        self._directory.cleanup()
 
     def _start_stand_in(
         self, name: str, module: str, address: str, *arguments: str
@@ -277,18 +294,18 @@
         process.stdout.close()
 
 
-_sites = itertools.count(1)
+_site_numbers = itertools.count(1)
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return addresses whose ports the system has chosen as free.
+    """Return addresses with free ports.
 
-    All are held until the last one is chosen, so that no port comes twice.
-    Each site has a loopback address of its own: on the usual one the system
-    may give a chosen port to any other program's outgoing connection.
+    All ports stay bound until the last one is chosen, so that none is chosen
+    twice. Each site has its own loopback address: on 127.0.0.1 the system may
+    assign a chosen port to the outgoing connection of another program.
     """
     high, low = divmod(os.getpid() % 65_024, 256)
-    host = f"127.{high + 1}.{low}.{next(_sites) % 254 + 1}"
+    host = f"127.{high + 1}.{low}.{next(_site_numbers) % 254 + 1}"
     probes = [socket.socket() for _ in range(count)]
     for probe in probes:
         probe.bind((host, 0))
--- a/fakes/tests/test_known_red.py
+++ b/fakes/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures."""
+"""Tests of the list of known failures and of the hooks that apply it."""
 
 from pathlib import Path
 
