--- a/benchmarks/lockstep.py
+++ b/benchmarks/lockstep.py
@@ -17,11 +17,11 @@
 from fakes.lockstep import (
     PRODUCT,
     CallerModel,
-    Day,
-    DayResult,
     Outage,
     Policy,
-    play_day,
+    Scenario,
+    ScenarioResult,
+    run_scenario,
 )
 from mintsaddle.decisions.direct import Incarnation
 from mintsaddle.decisions.routing import RoutingState
@@ -33,14 +33,14 @@
 """Arrivals under high load."""
 
 LOAD_PATTERNS = {
-    "calm": Day(length=30.0),
-    "burst": Day(length=30.0, burst=(8.0, 12.0, 1.7)),
-    "rank lost for 6 s": Day(length=40.0, outages=(Outage(12.0, 17.8),)),
-    "the same, high load": Day(
-        length=40.0, outages=(Outage(12.0, 17.8),), callers=HIGH_LOAD_CALLERS
+    "calm": Scenario(duration=30.0),
+    "burst": Scenario(duration=30.0, burst=(8.0, 12.0, 1.7)),
+    "rank lost for 6 s": Scenario(duration=40.0, outages=(Outage(12.0, 17.8),)),
+    "the same, high load": Scenario(
+        duration=40.0, outages=(Outage(12.0, 17.8),), callers=HIGH_LOAD_CALLERS
     ),
-    "rank lost twice, high load": Day(
-        length=44.0,
+    "rank lost twice, high load": Scenario(
+        duration=44.0,
         outages=(Outage(6.0, 8.5), Outage(22.0, 27.5)),
         callers=HIGH_LOAD_CALLERS,
     ),
@@ -86,11 +86,11 @@
         del state, now, rng
         return ranks[next(turns) % len(ranks)]
 
-    without_urgency = PRODUCT._replace(names_urgency=False)
+    without_urgency = PRODUCT._replace(sets_urgency=False)
     return {
         "mintsaddle": PRODUCT,
         "without urgency": without_urgency,
-        "without waiting": PRODUCT._replace(holds=False),
+        "without waiting": PRODUCT._replace(holds_requests=False),
         "round robin": without_urgency._replace(choose=choose_in_turn),
         "least in flight": without_urgency._replace(choose=choose_least_in_flight),
         "two choices": without_urgency._replace(choose=choose_less_loaded_of_two),
@@ -99,17 +99,19 @@
 
 def measure(pattern: str, name: str, policy: Policy, seeds: int) -> Row:
     """Run a pattern with each seed and return the means."""
-    results = [play_day(LOAD_PATTERNS[pattern], policy, seed) for seed in range(seeds)]
+    results = [
+        run_scenario(LOAD_PATTERNS[pattern], policy, seed) for seed in range(seeds)
+    ]
     return Row(
         pattern,
         name,
-        sum(result.worth for result in results) / seeds,
+        sum(result.score for result in results) / seeds,
         sum(result.served for result in results) / seeds,
         sum(mean_pass_seconds(result) for result in results) / seeds,
     )
 
 
-def mean_pass_seconds(result: DayResult) -> float:
+def mean_pass_seconds(result: ScenarioResult) -> float:
     """Return the mean seconds per forward pass of one run."""
     return sum(result.pass_seconds) / len(result.pass_seconds)
 
