--- a/fakes/lockstep/_entry.py
+++ b/fakes/lockstep/_entry.py
@@ -136,7 +136,7 @@
 
     def _send(self, serving: "_Serving", chosen: Incarnation) -> None:
         name = chosen.name
-        rank = chosen.place.rank if chosen.place else 0
+        rank = chosen.assignment.rank if chosen.assignment else 0
         record_sent(self._state, name)
         serving.call = serving.call._replace(sends=serving.call.sends + 1)
         visit = serving.visit
--- a/mintsaddle/decisions/direct/_directory.py
+++ b/mintsaddle/decisions/direct/_directory.py
@@ -48,7 +48,7 @@
     started_at_ms: int
     """Start of the run in Unix milliseconds; 0 if unknown."""
 
-    place: RankAssignment | None = None
+    assignment: RankAssignment | None = None
     """Its rank in a group; None if it belongs to no group."""
 
 
--- a/mintsaddle/decisions/direct/_first_map.py
+++ b/mintsaddle/decisions/direct/_first_map.py
@@ -55,7 +55,7 @@
 
 
 def sustainable_requests(
-    steps: StepModel, skew: float, longest_pause: float, most: int
+    steps: StepModel, skew: float, longest_pause: float, slots: int
 ) -> int:
     """Return how many requests an engine can serve on time.
 
@@ -64,13 +64,13 @@
         skew: How many times longer its steps take.
         longest_pause: Longest time between two events of a stream that is on
             time, in seconds; 0 if the route sets none.
-        most: Its slots.
+        slots: Its slots.
     """
     if longest_pause <= 0:
-        return most
+        return slots
     max_step_seconds = longest_pause * PAUSE_BUDGET_SHARE / skew
     fitting = [
-        n for n in range(1, most + 1) if steps.step_seconds(n) <= max_step_seconds
+        n for n in range(1, slots + 1) if steps.step_seconds(n) <= max_step_seconds
     ]
     return max(fitting, default=1)
 
--- a/mintsaddle/decisions/direct/_groups.py
+++ b/mintsaddle/decisions/direct/_groups.py
@@ -99,8 +99,8 @@
 
     def takes_work(self, incarnation: Incarnation) -> bool:
         """Return whether an endpoint's group, if it has one, accepts work."""
-        place = incarnation.place
-        return place is None or place.group not in self._down
+        assignment = incarnation.assignment
+        return assignment is None or assignment.group not in self._down
 
 
 def hold_until(call: DirectCall) -> Instant:
--- a/mintsaddle/decisions/direct/_membership.py
+++ b/mintsaddle/decisions/direct/_membership.py
@@ -48,7 +48,7 @@
 _NEVER: Instant = float("-inf")
 
 FAN_OUT = 2
-"""Peers contacted per round; news reaches 340 entries in about 8 rounds."""
+"""Peers contacted per round; changes reach 340 entries in about 8 rounds."""
 
 SEARCH_FAN_OUT = 4
 """Peers contacted per round while the platform refuses this entry."""
@@ -59,7 +59,7 @@
 
     vm: str
     address: str
-    heard_at: Instant
+    last_seen_at: Instant
     data_centre: str = ""
 
 
@@ -99,12 +99,12 @@
         bring it back, and it would stay the holder of its duties for seconds
         while nobody performs them.
         """
-        if entry.vm == self._vm or entry.heard_at <= self._left_at.get(
+        if entry.vm == self._vm or entry.last_seen_at <= self._left_at.get(
             entry.vm, _NEVER
         ):
             return
         known = self._entries.get(entry.vm)
-        if known is None or entry.heard_at > known.heard_at:
+        if known is None or entry.last_seen_at > known.last_seen_at:
             self._entries[entry.vm] = entry
 
     def record_answer(self, address: str) -> None:
@@ -130,7 +130,7 @@
         return tuple(
             entry
             for entry in self._entries.values()
-            if now - entry.heard_at <= ALIVE_SECONDS
+            if now - entry.last_seen_at <= ALIVE_SECONDS
         )
 
     def reachable(self, now: Instant) -> tuple[KnownEntry, ...]:
@@ -153,13 +153,13 @@
         self._entries = {
             vm: entry
             for vm, entry in self._entries.items()
-            if now - entry.heard_at <= SHARE_COUNT_SECONDS
+            if now - entry.last_seen_at <= SHARE_COUNT_SECONDS
         }
         return 1 + len(self._entries)
 
     def most_recent_entries(self, now: Instant) -> list[KnownEntry]:
         """Return the entries to list in a gossip message."""
-        by_age = sorted(self.alive(now), key=lambda entry: -entry.heard_at)
+        by_age = sorted(self.alive(now), key=lambda entry: -entry.last_seen_at)
         return by_age[:MAX_GOSSIP_ENTRIES]
 
     def choose_peers(
@@ -207,7 +207,7 @@
         return self.succession_index(duty, now) == 0
 
     def succession_index(self, duty: str, now: Instant) -> int | None:
-        """Return the position of this entry in the succession for a duty.
+        """Return the index of this entry in the succession for a duty.
 
         Returns:
             0 for the holder; None if this entry started too recently to know
@@ -217,6 +217,6 @@
             return None
         names = [self._vm]
         for entry in self.reachable(now):
-            if now - entry.heard_at <= DUTY_TIMEOUT_SECONDS:
+            if now - entry.last_seen_at <= DUTY_TIMEOUT_SECONDS:
                 names.append(entry.vm)
         return rank_by_score(duty, names).index(self._vm)
--- a/mintsaddle/decisions/direct/_pace.py
+++ b/mintsaddle/decisions/direct/_pace.py
@@ -218,7 +218,7 @@
     slow: dict[str, Incarnation] = {}
     quick = []
     for engine in ranked:
-        group = engine.place.group if engine.place else ""
+        group = engine.assignment.group if engine.assignment else ""
         if group and step_times.is_slow(group, call.route.longest_pause, now):
             slow.setdefault(group, engine)
         else:
@@ -279,8 +279,8 @@
     def has_slot(engine: Incarnation) -> bool:
         slots: float = max(DEFAULT_SLOTS, engine.slots)
         load = loads[engine.name]
-        if load.has_first_map and steps is not None and engine.place is not None:
-            seconds = step_times.step_seconds(engine.place.group, now)
+        if load.has_first_map and steps is not None and engine.assignment is not None:
+            seconds = step_times.step_seconds(engine.assignment.group, now)
             skew = estimate_skew(steps, seconds, requests)
             pause = call.route.longest_pause
             slots = late_share * sustainable_requests(steps, skew, pause, int(slots))
@@ -300,9 +300,9 @@
     draw = rng.random()
 
     def is_admitted(engine: Incarnation) -> bool:
-        if engine.place is None:
+        if engine.assignment is None:
             return False
-        step_seconds = step_times.step_seconds(engine.place.group, now)
+        step_seconds = step_times.step_seconds(engine.assignment.group, now)
         return draw < admission_share(step_seconds, call.route.longest_pause, late=late)
 
     return [engine for engine in probed if is_admitted(engine)]
--- a/mintsaddle/decisions/direct/_placement.py
+++ b/mintsaddle/decisions/direct/_placement.py
@@ -67,13 +67,15 @@
     If all are in back-off, only the one whose back-off ends first is returned.
     For the arguments see ``choose_incarnation``.
     """
-    left = [endpoint for endpoint in candidates if endpoint.name not in tried]
+    untried = [endpoint for endpoint in candidates if endpoint.name not in tried]
     available = [
-        endpoint for endpoint in left if state.view(endpoint.name).blocked_until <= now
+        endpoint
+        for endpoint in untried
+        if state.view(endpoint.name).blocked_until <= now
     ]
     if not available:
         return sorted(
-            left, key=lambda endpoint: state.view(endpoint.name).blocked_until
+            untried, key=lambda endpoint: state.view(endpoint.name).blocked_until
         )[:1]
 
     def sort_key(endpoint: Incarnation) -> tuple[float, bool, bool, float]:
@@ -96,7 +98,9 @@
     """
     leaders: dict[str, Incarnation] = {}
     for endpoint in ranked:
-        leaders.setdefault(endpoint.place.group if endpoint.place else "", endpoint)
+        leaders.setdefault(
+            endpoint.assignment.group if endpoint.assignment else "", endpoint
+        )
     first = list(leaders.values())
     return first + [endpoint for endpoint in ranked if endpoint not in first]
 
@@ -122,7 +126,7 @@
     default = min((s for s in step_seconds.values() if s > 0), default=1.0)
 
     def cost(endpoint: Incarnation) -> float:
-        group = endpoint.place.group if endpoint.place else ""
+        group = endpoint.assignment.group if endpoint.assignment else ""
         seconds = step_seconds.get(group, 0.0) or default
         requests = loads.get(endpoint.name, 0) + 1
         return requests * seconds / max(DEFAULT_SLOTS, endpoint.slots)
--- a/mintsaddle/decisions/direct/_replica.py
+++ b/mintsaddle/decisions/direct/_replica.py
@@ -150,7 +150,10 @@
         return [i for i in self._items.values() if i.revision > position.revision]
 
     def is_contradicted(
-        self, items: Iterable[PublishedItem], asked: Position, revision: int
+        self,
+        items: Iterable[PublishedItem],
+        requested_position: Position,
+        revision: int,
     ) -> bool:
         """Return whether a full read shows that the store was restored.
 
@@ -160,16 +163,17 @@
 
         Args:
             items: The items that were read.
-            asked: Position of the replica when the read was requested.
+            requested_position: Position of the replica when the read was
+                requested.
             revision: The store's revision according to its response.
         """
-        if revision < asked.revision:
+        if revision < requested_position.revision:
             return True
-        if asked.era != self._position.era:
+        if requested_position.era != self._position.era:
             return False
         read = {item.key: item for item in items}
         has_unknown_old_key = any(
-            item.revision <= asked.revision
+            item.revision <= requested_position.revision
             for key, item in read.items()
             if key not in self._items
         )
--- a/mintsaddle/decisions/direct/_store_polling.py
+++ b/mintsaddle/decisions/direct/_store_polling.py
@@ -47,7 +47,7 @@
     def resolve_position(
         self,
         replica: Replica,
-        asked: Position,
+        requested_position: Position,
         response: StoreResponse,
         *,
         is_full_read: bool,
@@ -56,7 +56,8 @@
 
         Args:
             replica: The replica, which peers may have advanced meanwhile.
-            asked: Position of the replica when the store was polled.
+            requested_position: Position of the replica when the store was
+                polled.
             response: The response.
             is_full_read: Whether it answers a full read rather than a watch.
 
@@ -67,24 +68,26 @@
         """
         self._names_era = response.era is not None
         # The first full read may be outdated, but has nothing to contradict.
-        is_comparable_read = is_full_read and asked.revision > 0
+        is_comparable_read = is_full_read and requested_position.revision > 0
         is_restored = is_comparable_read and replica.is_contradicted(
-            response.items, asked, response.revision
+            response.items, requested_position, response.revision
         )
-        era = find_era(asked, response.era, is_restored=is_restored)
-        self._needs_full_read = era != asked.era and not is_full_read
+        era = find_era(requested_position, response.era, is_restored=is_restored)
+        self._needs_full_read = era != requested_position.era and not is_full_read
         return None if self._needs_full_read else Position(era, response.revision)
 
 
-def find_era(asked: Position, named: int | None, *, is_restored: bool) -> int:
+def find_era(
+    requested_position: Position, named: int | None, *, is_restored: bool
+) -> int:
     """Return the era of a current response of the store.
 
     Args:
-        asked: Position of the replica when the store was polled.
+        requested_position: Position of the replica when the store was polled.
         named: The era that the store names; None if it names none.
         is_restored: Whether the content of the response shows that the store
             was restored from a backup since.
     """
-    if named is not None and named >= asked.era:
+    if named is not None and named >= requested_position.era:
         return named
-    return asked.era + 1 if is_restored else asked.era
+    return requested_position.era + 1 if is_restored else requested_position.era
--- a/mintsaddle/decisions/direct/_table.py
+++ b/mintsaddle/decisions/direct/_table.py
@@ -63,10 +63,10 @@
     experts: int
     """Experts per layer."""
 
-    places: int
+    max_experts: int
     """Experts per layer that one rank can hold."""
 
-    new_places: int
+    max_new_experts: int
     """Experts per layer that one rank can load for one map change."""
 
     load_seconds: float
--- a/mintsaddle/decisions/direct/_updates.py
+++ b/mintsaddle/decisions/direct/_updates.py
@@ -204,7 +204,7 @@
             return newer
         return newer._replace(
             cold_until=max(known.cold_until, newer.cold_until),
-            place=_later_assignment(known.place, newer.place),
+            assignment=_later_assignment(known.assignment, newer.assignment),
         )
 
     def _resolve_address(self, run: Incarnation) -> None:
--- a/mintsaddle/decisions/direct/tests/test_direct.py
+++ b/mintsaddle/decisions/direct/tests/test_direct.py
@@ -311,8 +311,8 @@
     def test_one_refusal_counts_for_all_ranks(self) -> None:
         """Guards against trying each rank of a group that is down."""
         beliefs = GroupAvailability()
-        place = RankAssignment("llm/g", 1, 0, 12, is_open=True)
-        other = make_endpoint("e-2", place=place._replace(rank=1))
+        assignment = RankAssignment("llm/g", 1, 0, 12, is_open=True)
+        other = make_endpoint("e-2", assignment=assignment._replace(rank=1))
         beliefs.record_refusal("llm/g", 1, 10.0)
         assert not beliefs.takes_work(other)
         beliefs.record_report("llm/g", 1, True, 10.1)
@@ -377,8 +377,8 @@
         """Guards against limits divided by the entries of one message only."""
         members = Membership("e-0", "a:0", [])
         for number in range(1, 340):
-            heard_at = 10.0 + number / 10
-            members.record_entry(KnownEntry(f"e-{number}", f"a:{number}", heard_at))
+            last_seen_at = 10.0 + number / 10
+            members.record_entry(KnownEntry(f"e-{number}", f"a:{number}", last_seen_at))
         assert len(members.most_recent_entries(44.0)) == MAX_GOSSIP_ENTRIES
         assert len(members.alive(44.0)) < 60
         assert members.count(44.0) == 340
@@ -411,9 +411,9 @@
         gossip = KnownEntry("e-2", "a:2", 9.9)
         member.record_entry(gossip)
         member.remove("e-2", 10.0)
-        member.record_entry(gossip._replace(heard_at=10.01))
+        member.record_entry(gossip._replace(last_seen_at=10.01))
         assert member.alive(10.1) == ()
-        restarted = gossip._replace(heard_at=10.5)
+        restarted = gossip._replace(last_seen_at=10.5)
         member.record_entry(restarted)
         assert member.alive(10.6) == (restarted,)
 
--- a/mintsaddle/decisions/direct/tests/test_pace.py
+++ b/mintsaddle/decisions/direct/tests/test_pace.py
@@ -47,8 +47,10 @@
 
 
 def make_engine(rank: int) -> Incarnation:
-    place = RankAssignment("g", 1, rank, RANKS, is_open=True)
-    return Incarnation(f"i-{rank}", "s", f"{rank}:1", "a", SLOTS, False, 0.0, 1, place)
+    assignment = RankAssignment("g", 1, rank, RANKS, is_open=True)
+    return Incarnation(
+        f"i-{rank}", "s", f"{rank}:1", "a", SLOTS, False, 0.0, 1, assignment
+    )
 
 
 class Stream(NamedTuple):
@@ -184,7 +186,10 @@
     def make_ranked(self) -> list[Incarnation]:
         engines = [make_engine(rank) for rank in range(4)]
         quick = RankAssignment("q", 1, 0, RANKS, is_open=True)
-        return [*engines[:2], *(engine._replace(place=quick) for engine in engines[2:])]
+        return [
+            *engines[:2],
+            *(engine._replace(assignment=quick) for engine in engines[2:]),
+        ]
 
     def make_step_times(self, *groups: str) -> GroupStepTimes:
         step_times = GroupStepTimes()
--- a/mintsaddle/decisions/direct/tests/test_placement.py
+++ b/mintsaddle/decisions/direct/tests/test_placement.py
@@ -110,8 +110,8 @@
 
     def choose(self, slow_requests: int, quick_requests: int) -> str:
         def make(name: str, group: str) -> Incarnation:
-            place = RankAssignment(group, 1, 0, 1, is_open=True)
-            return Incarnation(name, "s", name, "a", 5, False, 0.0, 1, place)
+            assignment = RankAssignment(group, 1, 0, 1, is_open=True)
+            return Incarnation(name, "s", name, "a", 5, False, 0.0, 1, assignment)
 
         engines = [make("slow", "g"), make("quick", "h")]
         loads = {"slow": slow_requests, "quick": quick_requests}
@@ -126,7 +126,7 @@
         """Guards against probing only the one group of a data centre."""
         engines = [
             make_engine(number)._replace(
-                place=RankAssignment(group, 1, number, 4, is_open=True)
+                assignment=RankAssignment(group, 1, number, 4, is_open=True)
             )
             for number, group in enumerate("ggggh")
         ]
@@ -134,6 +134,6 @@
         assert sorted(group_leaders_first(engines)) == sorted(engines)
 
     def test_an_unknown_step_time_counts_as_the_best_known(self) -> None:
-        place = RankAssignment("new", 1, 0, 1, is_open=True)
-        engine = Incarnation("i", "s", "i", "a", 5, False, 0.0, 1, place)
+        assignment = RankAssignment("new", 1, 0, 1, is_open=True)
+        engine = Incarnation("i", "s", "i", "a", 5, False, 0.0, 1, assignment)
         assert choose_by_load([engine], {"i": 1}, {"g": 0.13}) == engine
--- a/mintsaddle/decisions/direct/tests/test_restored_directory.py
+++ b/mintsaddle/decisions/direct/tests/test_restored_directory.py
@@ -47,13 +47,15 @@
 
     def test_its_group_does_not_go_back_to_an_earlier_epoch(self) -> None:
         """Guards against requests to a group by its state before a failure."""
-        place = RankAssignment("g", 2, 0, 12, False)
-        known = build(EndpointPublished(make_endpoint()._replace(place=place)))
-        earlier = place._replace(epoch=1, is_open=True)
-        listed = EndpointPublished(make_endpoint()._replace(place=earlier))
-        assert restore(known, listed).endpoints["e-1"].place == place
+        assignment = RankAssignment("g", 2, 0, 12, False)
+        known = build(
+            EndpointPublished(make_endpoint()._replace(assignment=assignment))
+        )
+        earlier = assignment._replace(epoch=1, is_open=True)
+        listed = EndpointPublished(make_endpoint()._replace(assignment=earlier))
+        assert restore(known, listed).endpoints["e-1"].assignment == assignment
         announced = apply_updates(known, [listed], 0.0, 11.0)
-        assert announced.endpoints["e-1"].place == earlier
+        assert announced.endpoints["e-1"].assignment == earlier
 
     def test_a_later_run_of_the_same_name_is_used(self) -> None:
         known = build(EndpointPublished(make_endpoint(leaving=True)))
--- a/mintsaddle/decisions/expert_maps/_armed_switch.py
+++ b/mintsaddle/decisions/expert_maps/_armed_switch.py
@@ -256,8 +256,8 @@
 
 def _advance(switch: ArmedSwitch, now: Instant) -> ArmedSwitch:
     """Return the switch in its next stage if the current one is complete."""
-    everyone = frozenset(range(switch.ranks))
-    is_complete = switch.completed_ranks == everyone
+    all_ranks = frozenset(range(switch.ranks))
+    is_complete = switch.completed_ranks == all_ranks
     match switch.stage:
         case SwitchStage.PREPARE if is_complete:
             return _enter_stage(switch, SwitchStage.HOLD)
--- a/mintsaddle/decisions/expert_maps/_maps.py
+++ b/mintsaddle/decisions/expert_maps/_maps.py
@@ -56,8 +56,8 @@
     """Return how many slots get an expert that their rank doesn't hold yet."""
     moved = 0
     for old_layer, new_layer in zip(old.layers, new.layers, strict=True):
-        for had, gets in zip(old_layer, new_layer, strict=True):
-            moved += (Counter(gets) - Counter(had)).total()
+        for old_slots, new_slots in zip(old_layer, new_layer, strict=True):
+            moved += (Counter(new_slots) - Counter(old_slots)).total()
     return moved
 
 
--- a/mintsaddle/decisions/expert_maps/_popularity.py
+++ b/mintsaddle/decisions/expert_maps/_popularity.py
@@ -34,6 +34,6 @@
 
 def _blend(old: Sequence[float], new: Sequence[float], decay: float) -> list[float]:
     return [
-        decay * before + (1.0 - decay) * now
-        for before, now in zip(old, new, strict=True)
+        decay * old_count + (1.0 - decay) * new_count
+        for old_count, new_count in zip(old, new, strict=True)
     ]
--- a/mintsaddle/decisions/expert_maps/_spread.py
+++ b/mintsaddle/decisions/expert_maps/_spread.py
@@ -167,7 +167,7 @@
         """Rebalance the most skewed layer first, since loads are limited."""
         changes_left = dict.fromkeys(range(len(self.layers)), _MAX_LAYER_CHANGES)
         while changes_left:
-            index = max(changes_left, key=lambda one: self.layers[one].skew)
+            index = max(changes_left, key=lambda i: self.layers[i].skew)
             layer = self.layers[index]
             if layer.skew <= TARGET_SKEW or not _offload_slowest_rank(layer, self):
                 del changes_left[index]
@@ -182,7 +182,9 @@
             return True
         if layer.new_counts[rank] >= self.limits.max_new_experts:
             return False
-        return sum(one.new_counts[rank] for one in self.layers) < self.limits.max_loads
+        return (
+            sum(other.new_counts[rank] for other in self.layers) < self.limits.max_loads
+        )
 
 
 def _offload_slowest_rank(layer: _Layer, plan: _Plan) -> bool:
--- a/mintsaddle/decisions/expert_maps/_stall.py
+++ b/mintsaddle/decisions/expert_maps/_stall.py
@@ -16,13 +16,13 @@
 rollbacks at the same time would interfere with each other."""
 
 
-def watchdog_timeout(position: int) -> float:
+def watchdog_timeout(succession_index: int) -> float:
     """Return how long a group may be stalled before a successor acts.
 
     Args:
-        position: Position in the order of succession; 0 is the coordinator.
+        succession_index: Index of the successor; 0 is the coordinator.
     """
-    return STALL_TIMEOUT_SECONDS + SUCCESSOR_DELAY_SECONDS * position
+    return STALL_TIMEOUT_SECONDS + SUCCESSOR_DELAY_SECONDS * succession_index
 
 
 class StallDetector:
@@ -40,6 +40,6 @@
         self._step = step
         self._running = running
 
-    def is_stuck(self, now: Instant, timeout: float = STALL_TIMEOUT_SECONDS) -> bool:
+    def is_stalled(self, now: Instant, timeout: float = STALL_TIMEOUT_SECONDS) -> bool:
         """Return whether the group is stalled although it has work."""
         return self._running > 0 and now - self._last_progress_at > timeout
--- a/mintsaddle/decisions/expert_maps/_watch.py
+++ b/mintsaddle/decisions/expert_maps/_watch.py
@@ -112,9 +112,9 @@
         """Whether steps are long enough to delay callers."""
         return self.step_seconds >= self._longest_pause * BUSY_PAUSE_SHARE
 
-    def is_stuck(self, now: Instant) -> bool:
+    def is_stalled(self, now: Instant) -> bool:
         """Return whether the group has work but makes no steps."""
-        return self._stall_detector.is_stuck(now)
+        return self._stall_detector.is_stalled(now)
 
     def can_plan_from(self, version: int, now: Instant) -> bool:
         """Return whether a new map may be planned from the given version.
@@ -147,8 +147,8 @@
         if before is None:
             return
         for fresh, old, new in zip(self._pending_counts, before, counts, strict=True):
-            for expert, (was, now) in enumerate(zip(old, new, strict=True)):
-                fresh[expert] += max(0, now - was)
+            for expert, (old_count, new_count) in enumerate(zip(old, new, strict=True)):
+                fresh[expert] += max(0, new_count - old_count)
 
     def update_popularity(self, now: Instant) -> None:
         """Update the popularity average with the counts of one poll."""
@@ -196,11 +196,14 @@
 
 def _average(old: Sequence[float], new: Sequence[float], decay: float) -> list[float]:
     """Return a layer's averaged popularity, or the new one after a shift."""
-    distance = sum(abs(was - now) for was, now in zip(old, new, strict=True)) / 2
+    distance = (
+        sum(abs(before - after) for before, after in zip(old, new, strict=True)) / 2
+    )
     if distance > SHIFT_DISTANCE:
         return list(new)
     return [
-        decay * was + (1.0 - decay) * now for was, now in zip(old, new, strict=True)
+        decay * before + (1.0 - decay) * after
+        for before, after in zip(old, new, strict=True)
     ]
 
 
--- a/mintsaddle/decisions/expert_maps/tests/test_spread.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_spread.py
@@ -158,15 +158,15 @@
         assert planned is not None
         assert watch.plan(planned, LIMITS) is None
 
-    def test_a_group_with_work_that_makes_no_steps_is_stuck(self) -> None:
+    def test_a_group_with_work_that_makes_no_steps_is_stalled(self) -> None:
         """Guards against a stall left by a dead entry that held a step."""
         watch = self.watch_steps(0.1)
         watch.record_step(16, 5, 2.0)
         watch.record_step(16, 5, 2.7)
-        assert watch.is_stuck(2.7)
+        assert watch.is_stalled(2.7)
         idle = self.watch_steps(0.1)
         idle.record_step(16, 0, 9.0)
-        assert not idle.is_stuck(9.0)
+        assert not idle.is_stalled(9.0)
 
     def test_a_change_of_popularity_is_followed_within_one_look(self) -> None:
         """Guards against averaging counts from before and after a shift."""
--- a/mintsaddle/decisions/expert_maps/tests/test_stall.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_stall.py
@@ -7,7 +7,7 @@
 
 class TestStallWatch:
     @pytest.mark.parametrize(
-        ("reports", "is_stuck"),
+        ("reports", "is_stalled"),
         [
             ([(5, 3, 0.0), (5, 3, 0.5)], False),
             ([(5, 3, 0.0), (5, 3, 0.7)], True),
@@ -18,12 +18,12 @@
         ],
     )
     def test_only_a_group_with_work_can_stand_still(
-        self, reports: list[tuple[int, int, float]], is_stuck: bool
+        self, reports: list[tuple[int, int, float]], is_stalled: bool
     ) -> None:
         watch = StallDetector()
         for step, running, now in reports:
             watch.record_step(step, running, now)
-        assert watch.is_stuck(reports[-1][2]) == is_stuck
+        assert watch.is_stalled(reports[-1][2]) == is_stalled
 
 
 class TestGuards:
--- a/mintsaddle/direct/_agents.py
+++ b/mintsaddle/direct/_agents.py
@@ -84,7 +84,7 @@
     def ask(
         self, calls: Mapping[str, Sequence[RankCall]]
     ) -> dict[str, tuple[RankResponse, ...]]:
-        """Return the answers of the engines whose agents reply in time.
+        """Return the responses of the engines whose agents reply in time.
 
         Args:
             calls: Calls to each agent's engine, by the agent's IP and port.
@@ -92,7 +92,7 @@
         waiting = {next(self._numbers): address for address in calls}
         for number, address in waiting.items():
             self._send(address, AgentRequest(number, tuple(calls[address])))
-        answers: dict[str, tuple[RankResponse, ...]] = {}
+        responses: dict[str, tuple[RankResponse, ...]] = {}
         wait_until = time.monotonic() + self._reply_timeout
         while waiting:
             left = wait_until - time.monotonic()
@@ -102,8 +102,8 @@
             # Late replies to earlier requests are ignored.
             address = waiting.pop(reply.sequence_number, "") if reply else ""
             if reply and len(reply.responses) == len(calls.get(address, ())):
-                answers[address] = reply.responses
-        return answers
+                responses[address] = reply.responses
+        return responses
 
     def _send(self, address: str, request: AgentRequest) -> None:
         host, _, port = address.rpartition(":")
--- a/mintsaddle/direct/_choice.py
+++ b/mintsaddle/direct/_choice.py
@@ -128,11 +128,17 @@
         None if no permit is granted or the endpoint is no longer usable.
     """
     requests = {name: load.requests for name, load in loads.items()}
-    groups = {one.place.group for one in admitted if one.place is not None}
+    groups = {
+        candidate.assignment.group
+        for candidate in admitted
+        if candidate.assignment is not None
+    }
     with gateway.lock:
         now = gateway.now()
-        steps = {group: gateway.step_times.step_seconds(group, now) for group in groups}
-    endpoint = choose_by_load(admitted, requests, steps)
+        step_seconds = {
+            group: gateway.step_times.step_seconds(group, now) for group in groups
+        }
+    endpoint = choose_by_load(admitted, requests, step_seconds)
     if not gateway.limits.take_permit(endpoint.name):
         return None
     with gateway.lock:
@@ -170,44 +176,46 @@
     """
     loads: dict[str, EngineLoad] = {}
     for first in range(0, min(len(ranked), MAX_PROBES), PROBES_PER_ROUND):
-        asked = list(ranked[first : first + PROBES_PER_ROUND])
-        reports = gateway.probe.read_loads([*asked, *slow] if first == 0 else asked)
+        probed = list(ranked[first : first + PROBES_PER_ROUND])
+        reports = gateway.probe.read_loads([*probed, *slow] if first == 0 else probed)
         loads.update(reports)
-        _record_paths(gateway, asked, reports)
+        _record_reachability(gateway, probed, reports)
         requests = {name: load.requests for name, load in reports.items()}
-        if not loads or has_free_slot(asked, requests):
+        if not loads or has_free_slot(probed, requests):
             break
-    _record_paces(gateway, [*ranked[:MAX_PROBES], *slow], loads)
+    _record_step_times(gateway, [*ranked[:MAX_PROBES], *slow], loads)
     return loads
 
 
-def _record_paths(
-    gateway: Gateway, asked: Sequence[Incarnation], reports: Mapping[str, EngineLoad]
+def _record_reachability(
+    gateway: Gateway, probed: Sequence[Incarnation], reports: Mapping[str, EngineLoad]
 ) -> None:
-    reached = {one.data_centre for one in asked if one.name in reports}
+    reached = {endpoint.data_centre for endpoint in probed if endpoint.name in reports}
     for data_centre in reached:
         gateway.reach.record(data_centre, received=True)
-    for one in asked:
-        if one.place is not None and one.data_centre not in reached:
-            gateway.reach.record(one.data_centre, received=False)
+    for endpoint in probed:
+        if endpoint.assignment is not None and endpoint.data_centre not in reached:
+            gateway.reach.record(endpoint.data_centre, received=False)
 
 
-def _record_paces(
+def _record_step_times(
     gateway: Gateway,
     endpoints: Sequence[Incarnation],
     loads: Mapping[str, EngineLoad],
 ) -> None:
     busy = {
-        one.place.group
-        for one in endpoints
-        if one.place is not None and one.name in loads and loads[one.name].requests
+        endpoint.assignment.group
+        for endpoint in endpoints
+        if endpoint.assignment is not None
+        and endpoint.name in loads
+        and loads[endpoint.name].requests
     }
     with gateway.lock:
-        for one in endpoints:
-            load = loads.get(one.name)
-            if load is None or one.place is None:
+        for endpoint in endpoints:
+            load = loads.get(endpoint.name)
+            if load is None or endpoint.assignment is None:
                 continue
-            group, now = one.place.group, gateway.now()
+            group, now = endpoint.assignment.group, gateway.now()
             is_busy = group in busy
             gateway.step_times.record(
                 group, load.epoch, load.step, now, is_busy=is_busy
@@ -228,7 +236,7 @@
     has_waited = False
     while True:
         usable = usable_endpoints(gateway.directory, call.service)
-        available = [one for one in usable if gateway.takes_work(one)]
+        available = [endpoint for endpoint in usable if gateway.takes_work(endpoint)]
         if not usable:
             return []
         if available and not has_waited:
@@ -240,7 +248,7 @@
         has_waited = True
         if gateway.reach.is_isolated:
             return Reason.ISOLATED
-        permit_at = gateway.limits.next_permit_at(one.name for one in usable)
+        permit_at = gateway.limits.next_permit_at(endpoint.name for endpoint in usable)
         if permit_at is not None and permit_at > call.due_at:
             return Reason.RATE_LIMITED
         left = (permit_at or wait_until) - gateway.now()
@@ -264,20 +272,28 @@
     loads: Mapping[str, EngineLoad],
 ) -> None:
     now = gateway.now()
-    probed = [one for one in endpoints if one.name in loads]
-    groups = sorted({one.place.group for one in probed if one.place is not None})
+    probed = [endpoint for endpoint in endpoints if endpoint.name in loads]
+    groups = sorted(
+        {
+            endpoint.assignment.group
+            for endpoint in probed
+            if endpoint.assignment is not None
+        }
+    )
     with gateway.lock:
-        steps = [gateway.step_times.step_seconds(group, now) for group in groups]
+        step_seconds = [gateway.step_times.step_seconds(group, now) for group in groups]
     gateway.metrics.count("not_admitted")
     _log.info(
         "Request not admitted %s.",
         fields(
             request=call.request_id,
             probed=len(probed),
-            requests=sum(loads[one.name].requests for one in probed),
-            slots=sum(one.slots for one in probed),
+            requests=sum(loads[endpoint.name].requests for endpoint in probed),
+            slots=sum(endpoint.slots for endpoint in probed),
             groups=",".join(groups) or "-",
-            step_ms=",".join(f"{seconds * MILLISECONDS:.0f}" for seconds in steps),
+            step_ms=",".join(
+                f"{seconds * MILLISECONDS:.0f}" for seconds in step_seconds
+            ),
             late=is_late(call, now),
         ),
     )
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -238,8 +238,14 @@
 
     def duties(self) -> set[str]:
         """Return the names of the duties to divide among entries."""
-        places = (one.place for one in self._directory.endpoints.values())
-        return {map_duty(place.group) for place in places if place is not None}
+        assignments = (
+            endpoint.assignment for endpoint in self._directory.endpoints.values()
+        )
+        return {
+            map_duty(assignment.group)
+            for assignment in assignments
+            if assignment is not None
+        }
 
     def set_entry_count(self, number: int) -> None:
         """Set how many entries share limits; at least the assumed number."""
@@ -368,7 +374,7 @@
             return any(map(self._is_unserved, table.services))
 
     def _data_centres(self) -> set[str]:
-        return {one.data_centre for one in self._directory.endpoints.values()}
+        return {endpoint.data_centre for endpoint in self._directory.endpoints.values()}
 
     def _notify_waiting(self) -> None:
         with self._groups_changed:
@@ -382,9 +388,9 @@
         """Return the addresses of random endpoints of a data centre."""
         with self._lock:
             addresses = [
-                one.address
-                for one in self._directory.endpoints.values()
-                if one.data_centre == data_centre
+                endpoint.address
+                for endpoint in self._directory.endpoints.values()
+                if endpoint.data_centre == data_centre
             ]
             return self._rng.sample(addresses, min(number, len(addresses)))
 
@@ -392,7 +398,8 @@
         """Return this entry's own load on endpoints that accept work."""
         with self._lock:
             in_flight = sum(
-                self._routing.view(one.name).own_in_flight for one in endpoints
+                self._routing.view(endpoint.name).own_in_flight
+                for endpoint in endpoints
             )
             return EntryShare(in_flight, len(endpoints), self._entry_count)
 
@@ -408,7 +415,9 @@
             service: The service; a permit for any of its endpoints will do.
         """
         with self._lock:
-            names = [one.name for one in usable_endpoints(self._directory, service)]
+            names = [
+                endpoint.name for endpoint in usable_endpoints(self._directory, service)
+            ]
         return self._limits.next_permit_at(names)
 
     def record_rate_limit(
@@ -450,9 +459,9 @@
 
     def _ranks_of(self, group: str) -> list[str]:
         return [
-            one.name
-            for one in self._directory.endpoints.values()
-            if one.place is not None and one.place.group == group
+            endpoint.name
+            for endpoint in self._directory.endpoints.values()
+            if endpoint.assignment is not None and endpoint.assignment.group == group
         ]
 
     def record_group_refusal(self, group: str, epoch: int, at_fault: str) -> None:
@@ -509,9 +518,15 @@
             now + hold_seconds if is_restored else None,
         )
         after = self._directory
-        for one in after.endpoints.values():
-            if one.place is not None and one is not before.endpoints.get(one.name):
-                self.record_group(one.place.group, one.place.epoch, one.place.is_open)
+        for endpoint in after.endpoints.values():
+            if endpoint.assignment is not None and endpoint is not before.endpoints.get(
+                endpoint.name
+            ):
+                self.record_group(
+                    endpoint.assignment.group,
+                    endpoint.assignment.epoch,
+                    endpoint.assignment.is_open,
+                )
         if after.table is not None and after.table is not before.table:
             routes = {r.name for all_of in after.table.hosts.values() for r in all_of}
             self._deadlines.keep_only(routes)
@@ -522,7 +537,7 @@
 
     def _log_directory(self, source: str) -> None:
         directory, replica = self._directory, self._replica
-        leaving = sum(one.leaving for one in directory.endpoints.values())
+        leaving = sum(endpoint.leaving for endpoint in directory.endpoints.values())
         _log.info(
             "Directory changed %s.",
             fields(
--- a/mintsaddle/direct/_groups.py
+++ b/mintsaddle/direct/_groups.py
@@ -30,16 +30,16 @@
 
 def _check_group(gateway: Gateway, calls: RankCalls, group: str) -> None:
     """Read the report of a random rank, since some ranks may be cut off."""
-    places = {
-        one.address: one.place
-        for one in gateway.directory.endpoints.values()
-        if one.place is not None and one.place.group == group
+    assignments = {
+        endpoint.address: endpoint.assignment
+        for endpoint in gateway.directory.endpoints.values()
+        if endpoint.assignment is not None and endpoint.assignment.group == group
     }
-    if not places:
+    if not assignments:
         return
     with gateway.lock:
-        address = gateway.rng.choice(list(places))
-    report = calls.read_report(address, places[address].rank)
+        address = gateway.rng.choice(list(assignments))
+    report = calls.read_report(address, assignments[address].rank)
     # A rank without a report may be the lost one; the next check picks again.
     if report is not None:
         gateway.record_group(group, report.epoch, report.is_open, report.step)
--- a/mintsaddle/direct/_maps.py
+++ b/mintsaddle/direct/_maps.py
@@ -72,8 +72,10 @@
     def __init__(self, gateway: Gateway, membership: Membership) -> None:
         self._gateway = gateway
         self._membership = membership
-        self._ranks = RankCalls(gateway.settings, gateway.now, gateway.metrics.count)
-        self._runner = SwitchRunner(self._ranks, gateway.now)
+        self._rank_calls = RankCalls(
+            gateway.settings, gateway.now, gateway.metrics.count
+        )
+        self._runner = SwitchRunner(self._rank_calls, gateway.now)
         self._watches: dict[str, MapWatch] = {}
         self._last_versions: dict[str, int] = {}
         self._stall_detectors: dict[str, StallDetector] = {}
@@ -128,17 +130,17 @@
             group: The group.
             index: This entry's index in the succession.
         """
-        reachable = self._ranks.reachable_ranks(group)
-        asked = choose_sampled_ranks(sorted(reachable), WATCHDOG_RANKS)
-        poll = self._ranks.poll(group, asked)
-        report = poll.first_report(asked)
-        stall = self._stall_detectors.setdefault(group.name, StallDetector())
+        reachable = self._rank_calls.reachable_ranks(group)
+        polled_ranks = choose_sampled_ranks(sorted(reachable), WATCHDOG_RANKS)
+        poll = self._rank_calls.poll(group, polled_ranks)
+        report = poll.first_report(polled_ranks)
+        detector = self._stall_detectors.setdefault(group.name, StallDetector())
         now = self._gateway.now()
         if report is None or not report.is_open:
             self._stall_detectors.pop(group.name, None)
             return
-        stall.record_step(report.step, poll.running, now)
-        if stall.is_stuck(now, watchdog_timeout(index)):
+        detector.record_step(report.step, poll.running, now)
+        if detector.is_stalled(now, watchdog_timeout(index)):
             self._recover(group)
 
     def _poll_group(self, group: RankGroup) -> None:
@@ -153,11 +155,11 @@
             watch = self._begin_watch(group, report.epoch)
             self._recover(group)
         watch.record_step(report.step, poll.running, gateway.now())
-        if watch.is_stuck(gateway.now()):
+        if watch.is_stalled(gateway.now()):
             self._recover(group)
             return
-        for rank, one in poll.reports.items():
-            watch.record_slowness(rank, one.slowness)
+        for rank, rank_report in poll.reports.items():
+            watch.record_slowness(rank, rank_report.slowness)
         for rank, counts in poll.counts.items():
             watch.record_counts(rank, counts)
         watch.update_popularity(gateway.now())
@@ -166,22 +168,24 @@
         current = self._current_map(group, report)
         if current is None:
             return
-        model = group.model
-        limits = choose_limits(model.places, model.new_places, model.load_seconds)
+        layout = group.layout
+        limits = choose_limits(
+            layout.max_experts, layout.max_new_experts, layout.load_seconds
+        )
         planned = watch.plan(current, limits)
         if planned is not None:
             self._switch(group, watch, current, planned)
 
     def _is_reachable(self, group: RankGroup) -> bool:
         """Return whether the agents of enough serving ranks are reachable."""
-        reachable = self._ranks.reachable_ranks(group).intersection(group.serving)
+        reachable = self._rank_calls.reachable_ranks(group).intersection(group.serving)
         return len(reachable) >= len(group.serving) * MIN_REACHABLE_SHARE
 
     def _begin_watch(self, group: RankGroup, epoch: int) -> MapWatch:
         table = self._gateway.directory.table
         pause = shortest_allowed_pause(table, group.service) if table else 0.0
-        model = group.model
-        watch = MapWatch(epoch, model.layers, model.experts, pause)
+        layout = group.layout
+        watch = MapWatch(epoch, layout.layers, layout.experts, pause)
         self._watches[group.name] = watch
         return watch
 
@@ -189,44 +193,44 @@
         """Poll the ranks; over the network only a few, which vary by poll."""
         ranks = len(group.ranks)
         if self._is_reachable(group):
-            reachable = self._ranks.reachable_ranks(group)
-            numbers = group.model.layers * group.model.experts
+            reachable = self._rank_calls.reachable_ranks(group)
+            counts_per_rank = group.layout.layers * group.layout.experts
             serving = [rank for rank in group.serving if rank in reachable]
             counted_ranks = choose_sampled_ranks(
-                serving, max(1, MAX_AGENT_COUNTS // numbers)
+                serving, max(1, MAX_AGENT_COUNTS // counts_per_rank)
             )
-            return self._ranks.poll(group, reachable, counted_ranks)
+            return self._rank_calls.poll(group, reachable, counted_ranks)
         self._poll_count += 1
         first = self._poll_count * SLOWNESS_RANKS
-        asked = {(first + offset) % ranks for offset in range(SLOWNESS_RANKS)}
+        polled_ranks = {(first + offset) % ranks for offset in range(SLOWNESS_RANKS)}
         counted_ranks = choose_sampled_ranks(group.serving, SAMPLE_RANKS)
-        return self._ranks.poll(
-            group, asked | {group.serving[0], *counted_ranks}, counted_ranks
+        return self._rank_calls.poll(
+            group, polled_ranks | {group.serving[0], *counted_ranks}, counted_ranks
         )
 
     def _current_map(self, group: RankGroup, report: RankReport) -> ExpertMap | None:
         """Return the active map, as known here or as read from the ranks."""
         if report.version == 0:
-            model = group.model
+            layout = group.layout
             ranks = len(group.ranks)
-            slots = -(-model.experts // ranks)
-            return make_first_map(0, ranks, model.experts, model.layers, slots)
+            slots = -(-layout.experts // ranks)
+            return make_first_map(0, ranks, layout.experts, layout.layers, slots)
         epoch, known = self._known_maps.get(group.name, (0, None))
         if known and (epoch, known.version) == (report.epoch, report.version):
             return known
-        held = self._ranks.read_experts(group)
+        held = self._rank_calls.read_experts(group)
         if held is None:
             return None
         layers = tuple(
             tuple(experts[layer] for experts in held)
-            for layer in range(group.model.layers)
+            for layer in range(group.layout.layers)
         )
         return ExpertMap(report.version, layers)
 
     def _switch(
         self, group: RankGroup, watch: MapWatch, current: ExpertMap, planned: ExpertMap
     ) -> None:
-        reports = self._ranks.read_reports(group)
+        reports = self._rank_calls.read_reports(group)
         if reports is None or any(report.held is not None for report in reports):
             return
         last = self._last_versions.get(group.name, 0)
@@ -278,7 +282,7 @@
         Returns:
             Whether no rank reported a held step, or a rollback was executed.
         """
-        reports = self._ranks.read_reports(group)
+        reports = self._rank_calls.read_reports(group)
         if reports is None:
             return False
         if all(report.held is None for report in reports):
--- a/mintsaddle/direct/_metrics.py
+++ b/mintsaddle/direct/_metrics.py
@@ -31,10 +31,10 @@
             summaries = self._histograms.summarise()
         counters = [f"mintsaddle_{name} {value}" for name, value in counts.items()]
         quantiles = [
-            f"mintsaddle_{one.key.measure.value}_ms"
-            f'{{workspace="{one.key.workspace}",class="{one.key.work_class}",'
+            f"mintsaddle_{summary.key.measure.value}_ms"
+            f'{{workspace="{summary.key.workspace}",class="{summary.key.work_class}",'
             f'quantile="{quantile}"}} {value:.0f}'
-            for one in summaries
-            for quantile, value in (("0.5", one.p50), ("0.95", one.p95))
+            for summary in summaries
+            for quantile, value in (("0.5", summary.p50), ("0.95", summary.p95))
         ]
         return counters + quantiles
--- a/mintsaddle/direct/_peers.py
+++ b/mintsaddle/direct/_peers.py
@@ -157,7 +157,7 @@
         now, own_data_centre = self._gateway.now(), self._gateway.settings.data_centre
         reachable = self._membership.reachable(now)
         addresses = [
-            one.address for one in reachable if one.data_centre == own_data_centre
+            entry.address for entry in reachable if entry.data_centre == own_data_centre
         ]
         await asyncio.gather(*(self._exchange_with(address) for address in addresses))
 
@@ -270,7 +270,7 @@
             hello.entries.add(
                 vm=entry.vm,
                 address=entry.address,
-                age=now - entry.heard_at,
+                age=now - entry.last_seen_at,
                 data_centre=entry.data_centre,
             )
         return hello
@@ -290,9 +290,9 @@
                     name, received=False, weight=PEER_TIMEOUT_WEIGHT
                 )
         for entry in hello.entries:
-            heard_at = now - entry.age
+            last_seen_at = now - entry.age
             self._membership.record_entry(
-                KnownEntry(entry.vm, entry.address, heard_at, entry.data_centre)
+                KnownEntry(entry.vm, entry.address, last_seen_at, entry.data_centre)
             )
 
 
@@ -303,13 +303,13 @@
     exchange = loop_thread.submit(_start(gateway, membership)).result()
     permits = exchange.permits
 
-    def take_permit(endpoint: str) -> bool:
+    def request_permit(endpoint: str) -> bool:
         return loop_thread.submit(permits.take_permit(endpoint)).result()
 
-    def announce_change(endpoint: str) -> None:
+    def publish(endpoint: str) -> None:
         loop_thread.post(permits.mark_changed, endpoint)
 
-    gateway.limits.set_callbacks(take_permit, announce_change)
+    gateway.limits.set_callbacks(request_permit, publish)
 
 
 async def _start(gateway: Gateway, membership: Membership) -> PeerExchange:
--- a/mintsaddle/direct/_permits.py
+++ b/mintsaddle/direct/_permits.py
@@ -80,9 +80,11 @@
     def record_rates(self, rates: Iterable[pb.EndpointRate]) -> None:
         """Record the rate limits that another entry knows of."""
         now = self._gateway.now()
-        for one in rates:
-            rate = one.rate if one.limited else None
-            self._gateway.record_rate_limit(one.endpoint, rate, now - one.age)
+        for endpoint_rate in rates:
+            rate = endpoint_rate.rate if endpoint_rate.limited else None
+            self._gateway.record_rate_limit(
+                endpoint_rate.endpoint, rate, now - endpoint_rate.age
+            )
 
     def mark_changed(self, endpoint: str) -> None:
         """Schedule an update of an endpoint's limit to other entries."""
@@ -114,7 +116,9 @@
                 granter=granter.vm if granter else self._membership.vm,
             ),
         )
-        await asyncio.gather(*(self._send_rate(one, rate) for one in recipients))
+        await asyncio.gather(
+            *(self._send_rate(recipient, rate) for recipient in recipients)
+        )
 
     async def _send_rate(self, entry: KnownEntry, rate: pb.EndpointRate) -> None:
         stub = EntryPeersStub(self._channels.open(entry.address))
--- a/mintsaddle/direct/_probe.py
+++ b/mintsaddle/direct/_probe.py
@@ -24,7 +24,7 @@
         self._host = settings.host
         self._port = settings.agent_port
         self._silent_agents = SilentAgents(now)
-        self._idle_links: list[AgentClient] = []
+        self._idle_clients: list[AgentClient] = []
         self._lock = threading.Lock()
 
     def read_loads(self, endpoints: Sequence[Incarnation]) -> dict[str, EngineLoad]:
@@ -35,25 +35,29 @@
                 skipped.
         """
         agents = {
-            agent_address(one.address, self._port): one
-            for one in endpoints
-            if self._port and one.place and self._silent_agents.may_ask(one.address)
+            agent_address(endpoint.address, self._port): endpoint
+            for endpoint in endpoints
+            if self._port
+            and endpoint.assignment
+            and self._silent_agents.may_ask(endpoint.address)
         }
         if not agents:
             return {}
-        link = self._acquire_link()
-        replies = link.ask({agent: [report_call()] for agent in agents})
+        client = self._acquire_client()
+        replies = client.ask({agent: [report_call()] for agent in agents})
         with self._lock:
-            self._idle_links.append(link)
+            self._idle_clients.append(client)
         loads = {}
-        for agent, one in agents.items():
-            self._silent_agents.record_reply(one.address, received=agent in replies)
-            if agent not in replies or one.place is None:
+        for agent, endpoint in agents.items():
+            self._silent_agents.record_reply(
+                endpoint.address, received=agent in replies
+            )
+            if agent not in replies or endpoint.assignment is None:
                 continue
-            match decode_rank_report(replies[agent][0], one.place.rank):
+            match decode_rank_report(replies[agent][0], endpoint.assignment.rank):
                 case Success(report):
                     requests = report.running + report.queued
-                    loads[one.name] = EngineLoad(
+                    loads[endpoint.name] = EngineLoad(
                         requests,
                         report.epoch,
                         report.step,
@@ -61,9 +65,9 @@
                     )
         return loads
 
-    def _acquire_link(self) -> AgentClient:
-        """Return a link that no other thread is using."""
+    def _acquire_client(self) -> AgentClient:
+        """Return a client that no other thread is using."""
         with self._lock:
-            if self._idle_links:
-                return self._idle_links.pop()
+            if self._idle_clients:
+                return self._idle_clients.pop()
         return AgentClient(self._host, REPLY_SECONDS)
--- a/mintsaddle/direct/_rank_calls.py
+++ b/mintsaddle/direct/_rank_calls.py
@@ -65,8 +65,8 @@
 
     def first_report(self, ranks: Iterable[int]) -> RankReport | None:
         """Return the report of the first of these ranks that has one."""
-        found = (self.reports.get(rank) for rank in ranks)
-        return next((report for report in found if report is not None), None)
+        reports = (self.reports.get(rank) for rank in ranks)
+        return next((report for report in reports if report is not None), None)
 
     @property
     def is_fresh(self) -> bool:
@@ -74,8 +74,8 @@
         return all(report.is_fresh for report in self.reports.values())
 
 
-class _Answers(NamedTuple):
-    answers: tuple[RankResponse, ...]
+class _EngineResponses(NamedTuple):
+    responses: tuple[RankResponse, ...]
     is_fresh: bool
 
 
@@ -106,8 +106,8 @@
         """Return the ranks whose agents aren't skipped as silent."""
         return frozenset(
             rank
-            for rank, one in enumerate(group.ranks)
-            if self._may_ask_agent(one.address)
+            for rank, endpoint in enumerate(group.ranks)
+            if self._may_ask_agent(endpoint.address)
         )
 
     def has_agents(self, group: RankGroup) -> bool:
@@ -116,8 +116,8 @@
 
     def read_report(self, address: str, rank: int) -> RankReport | None:
         """Return the report of one rank, or None if it gives none."""
-        (found,) = self._call_engines({address: [report_call()]}).values()
-        report = decode_rank_report(found.answers[0], rank)
+        (result,) = self._call_engines({address: [report_call()]}).values()
+        report = decode_rank_report(result.responses[0], rank)
         return report.value_or(None)
 
     def poll(
@@ -137,14 +137,14 @@
         }
         reports: dict[int, RankReport] = {}
         counts: dict[int, Popularity] = {}
-        for rank, found in self._call_ranks(group, calls).items():
-            match decode_rank_report(found.answers[0], rank):
+        for rank, result in self._call_ranks(group, calls).items():
+            match decode_rank_report(result.responses[0], rank):
                 case Success(report):
-                    reports[rank] = report._replace(is_fresh=found.is_fresh)
+                    reports[rank] = report._replace(is_fresh=result.is_fresh)
                 case Failure(problem):
                     self._log_missing_answer(group, rank, problem)
             if rank in with_counts:
-                self._record_counts(group, rank, found.answers[1], counts)
+                self._record_counts(group, rank, result.responses[1], counts)
         return GroupPoll(reports, counts)
 
     def read_reports(self, group: RankGroup) -> list[RankReport] | None:
@@ -166,8 +166,8 @@
         """Return each rank's experts by layer, or None if one is missing."""
         calls = {rank: [experts_call()] for rank in range(len(group.ranks))}
         held = []
-        for rank, found in sorted(self._call_ranks(group, calls).items()):
-            match decode_rank_experts(found.answers[0]):
+        for rank, result in sorted(self._call_ranks(group, calls).items()):
+            match decode_rank_experts(result.responses[0]):
                 case Success(experts):
                     held.append(experts)
                 case Failure(problem):
@@ -183,56 +183,60 @@
         if any(order.act in NETWORK_ONLY_ACTS for order in orders):
             addresses = {group.ranks[rank].address: calls[rank] for rank in calls}
             over_network = self._call_network(addresses)
-            found = {r: over_network[group.ranks[r].address] for r in calls}
+            results = {r: over_network[group.ranks[r].address] for r in calls}
         else:
-            found = self._call_ranks(group, calls)
+            results = self._call_ranks(group, calls)
         return {
-            order: decode_order_outcome(found[order.rank].answers[0])
+            order: decode_order_outcome(results[order.rank].responses[0])
             for order in orders
         }
 
     def _call_ranks(
         self, group: RankGroup, calls: Mapping[int, Sequence[RankCall]]
-    ) -> dict[int, _Answers]:
-        found = self._call_engines({group.ranks[r].address: calls[r] for r in calls})
-        return {rank: found[group.ranks[rank].address] for rank in calls}
+    ) -> dict[int, _EngineResponses]:
+        results = self._call_engines({group.ranks[r].address: calls[r] for r in calls})
+        return {rank: results[group.ranks[rank].address] for rank in calls}
 
     def _call_engines(
         self, calls: Mapping[str, Sequence[RankCall]]
-    ) -> dict[str, _Answers]:
+    ) -> dict[str, _EngineResponses]:
         """Call engines through agents, or the network if an agent is silent.
 
         Args:
             calls: Calls to each engine, by its IP and port.
         """
-        found = self._call_agents(calls)
-        left = {one: calls[one] for one in calls if one not in found}
-        return {**found, **self._call_network(left)}
+        results = self._call_agents(calls)
+        remaining = {
+            address: calls[address] for address in calls if address not in results
+        }
+        return {**results, **self._call_network(remaining)}
 
     def _call_network(
         self, calls: Mapping[str, Sequence[RankCall]]
-    ) -> dict[str, _Answers]:
-        def call_all(address: str) -> _Answers:
-            answers = tuple(call_rank(address, call) for call in calls[address])
-            return _Answers(answers, is_fresh=False)
+    ) -> dict[str, _EngineResponses]:
+        def call_all(address: str) -> _EngineResponses:
+            responses = tuple(call_rank(address, call) for call in calls[address])
+            return _EngineResponses(responses, is_fresh=False)
 
         return dict(zip(calls, self._pool.map(call_all, calls), strict=True))
 
     def _call_agents(
         self, calls: Mapping[str, Sequence[RankCall]]
-    ) -> dict[str, _Answers]:
+    ) -> dict[str, _EngineResponses]:
         if self._client is None:
             return {}
         agents = {
-            one: agent_address(one, self._port)
-            for one in calls
-            if self._may_ask_agent(one)
+            address: agent_address(address, self._port)
+            for address in calls
+            if self._may_ask_agent(address)
         }
-        replies = self._client.ask({agent: calls[one] for one, agent in agents.items()})
+        replies = self._client.ask(
+            {agent: calls[address] for address, agent in agents.items()}
+        )
         for engine, agent in agents.items():
             self._record_reply(engine, received=agent in replies)
         return {
-            engine: _Answers(replies[agent], is_fresh=True)
+            engine: _EngineResponses(replies[agent], is_fresh=True)
             for engine, agent in agents.items()
             if agent in replies
         }
@@ -249,13 +253,13 @@
         self,
         group: RankGroup,
         rank: int,
-        answer: RankResponse,
+        response: RankResponse,
         counts: dict[int, Popularity],
     ) -> None:
-        model = group.model
-        match decode_expert_counts(answer, model.layers, model.experts):
-            case Success(found):
-                counts[rank] = found
+        layout = group.layout
+        match decode_expert_counts(response, layout.layers, layout.experts):
+            case Success(rank_counts):
+                counts[rank] = rank_counts
             case Failure(problem):
                 self._log_missing_answer(group, rank, problem)
 
--- a/mintsaddle/direct/_rank_groups.py
+++ b/mintsaddle/direct/_rank_groups.py
@@ -11,7 +11,7 @@
     name: str
     service: str
     ranks: tuple[Incarnation, ...]
-    model: ExpertLayout
+    layout: ExpertLayout
     serving: tuple[int, ...]
     """Ranks that get work, which excludes those in evacuated data centres."""
 
@@ -20,24 +20,30 @@
     """Return the groups with all ranks announced and at least one serving."""
     if directory.table is None:
         return []
-    found: dict[str, dict[int, Incarnation]] = {}
-    for one in directory.endpoints.values():
-        if one.place is not None:
-            found.setdefault(one.place.group, {})[one.place.rank] = one
+    ranks_by_group: dict[str, dict[int, Incarnation]] = {}
+    for endpoint in directory.endpoints.values():
+        if endpoint.assignment is not None:
+            ranks_by_group.setdefault(endpoint.assignment.group, {})[
+                endpoint.assignment.rank
+            ] = endpoint
     groups = []
-    for name, ranks in found.items():
+    for name, ranks in ranks_by_group.items():
         service = directory.table.services.get(next(iter(ranks.values())).service)
-        model = service.experts if service else None
-        places = [one.place for one in ranks.values() if one.place is not None]
-        is_whole = sorted(ranks) == list(range(places[0].size))
-        if model is not None and is_whole:
+        layout = service.experts if service else None
+        assignments = [
+            endpoint.assignment
+            for endpoint in ranks.values()
+            if endpoint.assignment is not None
+        ]
+        is_whole = sorted(ranks) == list(range(assignments[0].size))
+        if layout is not None and is_whole:
             ordered = tuple(ranks[rank] for rank in sorted(ranks))
             serving = tuple(
                 rank
-                for rank, one in enumerate(ordered)
-                if one.data_centre not in directory.evacuated
+                for rank, endpoint in enumerate(ordered)
+                if endpoint.data_centre not in directory.evacuated
             )
             if serving:
                 service_name = ordered[0].service
-                groups.append(RankGroup(name, service_name, ordered, model, serving))
+                groups.append(RankGroup(name, service_name, ordered, layout, serving))
     return groups
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -101,7 +101,7 @@
         while True:
             result = self._try_endpoint()
             if isinstance(result, GiveUp):
-                # An endpoint's own error tells the caller more than ours.
+                # An endpoint's own error is more specific than a refusal.
                 return self._failed_answer or result
             if isinstance(result, _Attempt):
                 if result.head.is_stream:
@@ -173,8 +173,8 @@
             )
         except (OSError, http.client.HTTPException, ValueError) as error:
             self._log_broken_answer(endpoint, error)
-            is_silent = self._gateway.now() >= watched.expires_at
-            return Ending.SILENT if is_silent else Ending.BROKEN, None
+            has_timed_out = self._gateway.now() >= watched.expires_at
+            return Ending.SILENT if has_timed_out else Ending.BROKEN, None
         head = read_response_head(response, call.request_id, endpoint.slots)
         self._record_head(endpoint, head)
         if head.is_misdirected:
@@ -182,10 +182,10 @@
                 self._gateway.record_replaced(endpoint.name)
             return Ending.MISDIRECTED, None
         if head.not_executed:
-            place = endpoint.place
-            if head.at_fault and place is not None:
+            assignment = endpoint.assignment
+            if head.at_fault and assignment is not None:
                 self._gateway.record_group_refusal(
-                    place.group, place.epoch, head.at_fault
+                    assignment.group, assignment.epoch, head.at_fault
                 )
                 return Ending.GROUP_DOWN, None
             return Ending.NOT_RUN, None
--- a/mintsaddle/direct/_server.py
+++ b/mintsaddle/direct/_server.py
@@ -35,10 +35,10 @@
 
 
 class _ClosingTask(WSGITask):  # type: ignore[misc]
-    """Sends `Connection: close` while the process is shutting down."""
+    """Sends `Connection: close` if callers should use another entry."""
 
     def build_response_header(self) -> bytes:
-        if self.channel.server.is_leaving():
+        if self.channel.server.should_close_connections():
             self.request.headers["CONNECTION"] = "close"
         head: bytes = super().build_response_header()
         return head
@@ -62,7 +62,7 @@
         self,
         app: Any,
         address: str,
-        is_leaving: Callable[[], bool],
+        should_close_connections: Callable[[], bool],
         max_callers: int,
     ) -> None:
         """Create the server.
@@ -70,8 +70,8 @@
         Args:
             app: The WSGI application.
             address: IP and port to listen on.
-            is_leaving: Returns whether callers should send their next request
-                to another entry.
+            should_close_connections: Returns whether callers should send
+                their next request to another entry.
             max_callers: How many requests are served concurrently.
         """
         dispatcher = GrowingDispatcher(max_callers + _REFUSAL_THREADS)
@@ -92,7 +92,7 @@
             log_socket_errors=False,
         )
         self._server.channel_class = _CallerChannel
-        self._server.is_leaving = is_leaving
+        self._server.should_close_connections = should_close_connections
 
     def start(self) -> None:
         """Start serving in a separate thread."""
--- a/mintsaddle/direct/_switches.py
+++ b/mintsaddle/direct/_switches.py
@@ -49,8 +49,8 @@
 class SwitchRunner:
     """Sends orders to the ranks of a group and reads their reports."""
 
-    def __init__(self, ranks: RankCalls, now: Callable[[], Instant]) -> None:
-        self._ranks = ranks
+    def __init__(self, rank_calls: RankCalls, now: Callable[[], Instant]) -> None:
+        self._rank_calls = rank_calls
         self._now = now
 
     def execute(
@@ -72,7 +72,7 @@
                 is_rolling_back = True
             stage = switch.stage
             orders = next_map_orders(switch)
-            answers = self._ranks.send(group, orders)
+            answers = self._rank_calls.send(group, orders)
             switch = record_answers(switch, answers, self._now())
             if switch.stage in TERMINAL_STAGES:
                 break
@@ -99,7 +99,7 @@
     def _choose_step(
         self, group: RankGroup, switch: ArmedSwitch, step_seconds: float
     ) -> ArmedSwitch:
-        reports = self._ranks.read_reports(group)
+        reports = self._rank_calls.read_reports(group)
         if reports is None:
             return switch._replace(stage=SwitchStage.FAILED)
         return hold_at(switch, choose_step(reports, step_seconds))
@@ -115,7 +115,7 @@
         """
         if switch.stage is not SwitchStage.PREPARE:
             return switch
-        if not self._ranks.has_agents(group):
+        if not self._rank_calls.has_agents(group):
             time.sleep(_LOAD_RETRY_SECONDS)
             if rounds % ROUNDS_PER_REPORT:
                 return switch
@@ -139,8 +139,8 @@
                 order; reports that aren't fresh may predate it.
         """
         ranks = ranks_to_read(switch)
-        poll = self._ranks.poll(group, ranks)
+        poll = self._rank_calls.poll(group, ranks)
         if require_fresh and not poll.is_fresh:
             time.sleep(REPORT_WAIT_SECONDS)
-            poll = self._ranks.poll(group, ranks)
+            poll = self._rank_calls.poll(group, ranks)
         return record_reports(switch, list(poll.reports.values()), self._now())
--- a/mintsaddle/direct/_watchdog.py
+++ b/mintsaddle/direct/_watchdog.py
@@ -50,15 +50,15 @@
         with self._changed:
             self._watched.discard(watched)
 
-    def _abort(self, one: WatchedExchange) -> None:
+    def _abort(self, watched_exchange: WatchedExchange) -> None:
         """Abort an exchange that is still monitored.
 
         An exchange that ended in the meantime must not be aborted: its
         connection may already serve another request.
         """
         with self._changed:
-            if one in self._watched:
-                one.exchange.abort()
+            if watched_exchange in self._watched:
+                watched_exchange.exchange.abort()
 
     def _run(self) -> None:
         pause = threading.Event()
@@ -68,7 +68,10 @@
                     self._changed.wait()
                 watched = tuple(self._watched)
             now = self._now()
-            for one in watched:
-                if now >= one.expires_at or one.is_disconnected():
-                    self._abort(one)
+            for watched_exchange in watched:
+                if (
+                    now >= watched_exchange.expires_at
+                    or watched_exchange.is_disconnected()
+                ):
+                    self._abort(watched_exchange)
             pause.wait(POLL_SECONDS)
--- a/mintsaddle/direct/tests/test_probe.py
+++ b/mintsaddle/direct/tests/test_probe.py
@@ -36,8 +36,8 @@
 
 
 def make_endpoint(address: str, *, is_rank: bool = True) -> Incarnation:
-    place = RankAssignment("g", 3, 0, 1, is_open=True) if is_rank else None
-    return Incarnation("i-0", "letters", address, "a", 3, False, 0.0, 1, place)
+    assignment = RankAssignment("g", 3, 0, 1, is_open=True) if is_rank else None
+    return Incarnation("i-0", "letters", address, "a", 3, False, 0.0, 1, assignment)
 
 
 class TestLoadProbe:
--- a/mintsaddle/direct/tests/test_rank_calls.py
+++ b/mintsaddle/direct/tests/test_rank_calls.py
@@ -23,7 +23,9 @@
 from mintsaddle.rank_agent._agent import RankAgent
 from mintsaddle.rank_agent.tests.standins import FakeEngine
 
-MODEL = ExpertLayout(layers=1, experts=2, places=2, new_places=1, load_seconds=0.1)
+MODEL = ExpertLayout(
+    layers=1, experts=2, max_experts=2, max_new_experts=1, load_seconds=0.1
+)
 TIMEOUT = 3.0
 """Seconds to wait for answers that are expected, on a busy machine too."""
 
--- a/mintsaddle/platform/_configuration.py
+++ b/mintsaddle/platform/_configuration.py
@@ -131,9 +131,9 @@
         # The platform calls a layer a set.
         layers=int(engine["sets"]),
         experts=int(engine["experts"]),
-        places=int(engine["places"]),
-        # The platform's "spare" places limit the experts that one map may add.
-        new_places=int(engine["spare"]),
+        max_experts=int(engine["places"]),
+        # The platform's "spare" limits the experts that one map may add.
+        max_new_experts=int(engine["spare"]),
         load_seconds=megabits / link if link > 0 else 0.0,
     )
 
--- a/mintsaddle/platform/_items.py
+++ b/mintsaddle/platform/_items.py
@@ -125,11 +125,11 @@
         leaving=state == "draining",
         cold_until=now + cold_ms / MILLISECONDS if cold_ms > 0 else 0.0,
         started_at_ms=int(born),
-        place=_read_place(values),
+        assignment=_read_assignment(values),
     )
 
 
-def _read_place(values: dict[str, Any]) -> RankAssignment | None:
+def _read_assignment(values: dict[str, Any]) -> RankAssignment | None:
     group = values.get("group")
     if not isinstance(group, dict):
         return None
--- a/mintsaddle/platform/_ranks.py
+++ b/mintsaddle/platform/_ranks.py
@@ -47,14 +47,14 @@
     return RankCall("GET", _REPORT_PATH)
 
 
-def decode_rank_report(answer: RankResponse, rank: int) -> Result[RankReport, str]:
+def decode_rank_report(response: RankResponse, rank: int) -> Result[RankReport, str]:
     """Return the report of a rank's engine.
 
     Args:
-        answer: The response to a ``report_call``.
+        response: The response to a ``report_call``.
         rank: The rank that was called.
     """
-    return _check_status(answer).bind(lambda body: _decode_report(body, rank))
+    return _check_status(response).bind(lambda body: _decode_report(body, rank))
 
 
 def counts_call() -> RankCall:
@@ -63,10 +63,10 @@
 
 
 def decode_expert_counts(
-    answer: RankResponse, layers: int, experts: int
+    response: RankResponse, layers: int, experts: int
 ) -> Result[tuple[tuple[int, ...], ...], str]:
     """Return how often each expert was chosen since the rank's start."""
-    decoded = _check_status(answer)
+    decoded = _check_status(response)
     return decoded.bind(lambda body: _decode_counts(body, layers, experts))
 
 
@@ -76,10 +76,10 @@
 
 
 def decode_rank_experts(
-    answer: RankResponse,
+    response: RankResponse,
 ) -> Result[tuple[tuple[int, ...], ...], str]:
     """Return the experts of each layer in the rank's active map."""
-    return _check_status(answer).bind(_decode_experts)
+    return _check_status(response).bind(_decode_experts)
 
 
 def order_call(order: MapOrder) -> RankCall:
@@ -88,12 +88,12 @@
     return RankCall("POST", _ORDER_PATH, body)
 
 
-def decode_order_outcome(answer: RankResponse) -> OrderOutcome:
+def decode_order_outcome(response: RankResponse) -> OrderOutcome:
     """Return the outcome of an order from the engine's response."""
-    if answer.status == NO_RESPONSE.status:
+    if response.status == NO_RESPONSE.status:
         return OrderOutcome.UNKNOWN
-    # 421 and 503 come from an engine that holds none of our maps or orders.
-    return _ORDER_OUTCOMES.get(answer.status, OrderOutcome.REFUSED)
+    # 421 and 503 come from an engine that holds no maps or orders of entries.
+    return _ORDER_OUTCOMES.get(response.status, OrderOutcome.REFUSED)
 
 
 def call_rank(address: str, call: RankCall) -> RankResponse:
@@ -125,12 +125,12 @@
     return values
 
 
-def _check_status(answer: RankResponse) -> Result[str, str]:
-    if answer.status == NO_RESPONSE.status:
+def _check_status(response: RankResponse) -> Result[str, str]:
+    if response.status == NO_RESPONSE.status:
         return Failure("no answer")
-    if answer.status != http.client.OK:
-        return Failure(f"status {answer.status}")
-    return Success(answer.body)
+    if response.status != http.client.OK:
+        return Failure(f"status {response.status}")
+    return Success(response.body)
 
 
 def _decode_report(body: str, rank: int) -> Result[RankReport, str]:
--- a/mintsaddle/platform/_store.py
+++ b/mintsaddle/platform/_store.py
@@ -91,24 +91,24 @@
         return self._get("kv-range", query, READ_TIMEOUT_SECONDS, "items")
 
     def watch(
-        self, prefix: str, position: int, wait: float
+        self, prefix: str, revision: int, wait: float
     ) -> Result[StoreResponse, StoreProblem]:
         """Wait for changes after a revision.
 
         Args:
             prefix: Prefix of the keys to watch.
-            position: The last known revision.
+            revision: The last known revision.
             wait: Seconds for which the store may delay its response.
         """
         query = {
             "prefix": prefix,
-            "after": str(position),
+            "after": str(revision),
             "wait_ms": str(int(wait * MILLISECONDS)),
         }
         decoded = self._get("kv-watch", query, wait + READ_TIMEOUT_SECONDS, "events")
         return decoded.map(
             lambda page: StoreResponse(
-                page.items, max(position, page.store_revision), page.era
+                page.items, max(revision, page.store_revision), page.era
             )
         )
 
@@ -179,19 +179,19 @@
     pages: list[_Page], *, allow_stale: bool
 ) -> Result[StoreResponse, StoreProblem]:
     items = tuple(item for page in pages for item in page.items)
-    position = min(page.store_revision for page in pages)
+    revision = min(page.store_revision for page in pages)
     era = pages[0].era
     if allow_stale:
         # A stale page may state a newer revision than its items have.
         newest = max((item.revision for item in items), default=1)
-        return Success(StoreResponse(items, min(position, newest), era))
+        return Success(StoreResponse(items, min(revision, newest), era))
     is_restored = any(
         later.era != era or later.store_revision < earlier.store_revision
         for earlier, later in itertools.pairwise(pages)
     )
     if is_restored:
         return Failure(StoreProblem.HISTORY_GONE)
-    return Success(StoreResponse(items, position, era))
+    return Success(StoreResponse(items, revision, era))
 
 
 def _decode_era(response: http.client.HTTPResponse) -> int | None:
--- a/mintsaddle/platform/tests/test_taking_items.py
+++ b/mintsaddle/platform/tests/test_taking_items.py
@@ -68,7 +68,7 @@
         place = {"name": "g", "epoch": 1, "rank": 0, "state": "open"}
         value = {**json.loads(ANNOUNCED), "group": place, "size": 2}
         take(gateway, PublishedItem("servers/i-2", 6, json.dumps(value).encode()))
-        rank = gateway.directory.endpoints["i-2"].place
+        rank = gateway.directory.endpoints["i-2"].assignment
         assert rank is not None
         for _ in range(4):
             record_failed(gateway.routing, "i-2", gateway.now())
--- a/mintsaddle/platform/tests/test_translation.py
+++ b/mintsaddle/platform/tests/test_translation.py
@@ -101,7 +101,9 @@
         (fact,) = self.decode("servers/i-1", value)
         assert isinstance(fact, EndpointPublished)
         assert fact.incarnation.cold_until == 100.5
-        assert fact.incarnation.place == RankAssignment("llm/g", 2, 3, 4, is_open=False)
+        assert fact.incarnation.assignment == RankAssignment(
+            "llm/g", 2, 3, 4, is_open=False
+        )
 
     @pytest.mark.parametrize(
         "change",
