--- a/mintsaddle/decisions/direct/_first_map.py
+++ b/mintsaddle/decisions/direct/_first_map.py
@@ -1,15 +1,15 @@
 """How many streams a rank group that has just formed can serve on time.
 
-A group that was down for seconds has lost its expert map. It starts with the
-experts in turn, whatever their popularity, until the first fitting map is in
-force a second later. Meanwhile its steps take twice as long, and all waiting
+A group that was down for seconds has lost its expert map. It starts with a
+round-robin map, which ignores popularity, until the first planned map becomes
+active a second later. Meanwhile its steps take twice as long, and all waiting
 streams arrive together. Engines report new requests one step late, so each
 engine appears idle to all entries; if all streams were admitted, all would be
 late.
 
 So the number of requests that an engine can serve is derived from the
 published step model, and each entry keeps to its share of that number while
-the first map is in force.
+the round-robin map is active.
 """
 
 from collections.abc import Sequence
--- a/mintsaddle/decisions/direct/_table.py
+++ b/mintsaddle/decisions/direct/_table.py
@@ -187,6 +187,6 @@
         route.longest_pause
         for routes in table.hosts.values()
         for route in routes
-        if any(target.service == service for target in route.destinations)
+        if any(destination.service == service for destination in route.destinations)
     ]
     return min((pause for pause in pauses if pause > 0), default=0.0)
--- a/mintsaddle/decisions/direct/_urgency.py
+++ b/mintsaddle/decisions/direct/_urgency.py
@@ -27,7 +27,7 @@
 _URGENCIES_PER_CLASS = 5
 
 _RELEARN_REQUESTS = 64
-"""Requests of a route after which its longest deadline is learned anew."""
+"""Requests of a route after which its longest deadline is learned again."""
 
 _RETURNING_SHARE = 0.78
 """Share of the route's longest deadline below which a caller counts as
--- a/mintsaddle/decisions/expert_maps/_watch.py
+++ b/mintsaddle/decisions/expert_maps/_watch.py
@@ -51,9 +51,9 @@
 def choose_sampled_ranks(serving: Sequence[int], count: int) -> list[int]:
     """Return the ranks to read, evenly spread over those that receive work.
 
-    Ranks in a data centre that is marked out run the same steps as all others
-    but receive no requests. Sampling one of them would make the group appear
-    idle, and its map would not change until the data centre is back.
+    Ranks in an evacuated data centre run the same steps as all others but
+    receive no requests. Sampling one of them would make the group appear idle,
+    and its map would not change until the data centre is back.
 
     Args:
         serving: Ranks that receive work.
--- a/mintsaddle/direct/_agents.py
+++ b/mintsaddle/direct/_agents.py
@@ -79,7 +79,7 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((host, 0))
         self._socket.setblocking(False)
-        self._numbers = itertools.count(1)
+        self._sequence_numbers = itertools.count(1)
 
     def ask(
         self, calls: Mapping[str, Sequence[RankCall]]
@@ -89,14 +89,17 @@
         Args:
             calls: Calls to each agent's engine, by the agent's IP and port.
         """
-        waiting = {next(self._numbers): address for address in calls}
-        for number, address in waiting.items():
-            self._send(address, AgentRequest(number, tuple(calls[address])))
+        waiting = {next(self._sequence_numbers): address for address in calls}
+        for sequence_number, address in waiting.items():
+            self._send(address, AgentRequest(sequence_number, tuple(calls[address])))
         responses: dict[str, tuple[RankResponse, ...]] = {}
         wait_until = time.monotonic() + self._reply_timeout
         while waiting:
-            left = wait_until - time.monotonic()
-            if left <= 0 or not select.select([self._socket], [], [], left)[0]:
+            seconds_left = wait_until - time.monotonic()
+            if (
+                seconds_left <= 0
+                or not select.select([self._socket], [], [], seconds_left)[0]
+            ):
                 break
             reply = self._receive()
             # Late replies to earlier requests are ignored.
--- a/mintsaddle/direct/_app.py
+++ b/mintsaddle/direct/_app.py
@@ -239,8 +239,8 @@
             return advise_retry(seconds_left, preferred, gateway.rng)
 
     def _record(self, call: DirectCall, measure: Measure) -> None:
-        name = HistogramKey(call.workspace or "none", call.route.name, measure)
-        self._gateway.metrics.record(name, self._gateway.now() - call.arrived_at)
+        key = HistogramKey(call.workspace or "none", call.route.name, measure)
+        self._gateway.metrics.record(key, self._gateway.now() - call.arrived_at)
 
     def _log_end(
         self,
--- a/mintsaddle/direct/_exchange.py
+++ b/mintsaddle/direct/_exchange.py
@@ -131,7 +131,7 @@
 
         Raises:
             OSError: The connection broke or timed out.
-            http.client.HTTPException: The reply is no valid answer.
+            http.client.HTTPException: The answer is invalid.
         """
         try:
             self._response = self._send(method, target, headers, body, seconds)
--- a/mintsaddle/direct/_gateway.py
+++ b/mintsaddle/direct/_gateway.py
@@ -528,7 +528,11 @@
                     endpoint.assignment.is_open,
                 )
         if after.table is not None and after.table is not before.table:
-            routes = {r.name for all_of in after.table.hosts.values() for r in all_of}
+            routes = {
+                route.name
+                for host_routes in after.table.hosts.values()
+                for route in host_routes
+            }
             self._deadlines.keep_only(routes)
         for name in before.endpoints.keys() - after.endpoints.keys():
             self._routing.forget(name)
--- a/mintsaddle/direct/_metrics.py
+++ b/mintsaddle/direct/_metrics.py
@@ -19,10 +19,10 @@
         with self._lock:
             self._counters[name] += 1
 
-    def record(self, name: HistogramKey, seconds: float) -> None:
+    def record(self, key: HistogramKey, seconds: float) -> None:
         """Record a value in a histogram."""
         with self._lock:
-            self._histograms.record(name, seconds)
+            self._histograms.record(key, seconds)
 
     def lines(self) -> list[str]:
         """Return counters and quantiles as lines of the metrics page."""
--- a/mintsaddle/direct/_peers.py
+++ b/mintsaddle/direct/_peers.py
@@ -97,9 +97,9 @@
         self, stream: "Stream[pb.PermitWish, pb.PermitAnswer]"
     ) -> None:
         """Respond to a peer that asks for a permit for a limited endpoint."""
-        wish = await stream.recv_message()
-        if wish is not None:
-            await stream.send_message(self._permits.answer_permit_request(wish))
+        request = await stream.recv_message()
+        if request is not None:
+            await stream.send_message(self._permits.answer_permit_request(request))
 
     async def NoteRates(  # noqa: N802 - named by the gRPC service
         self, stream: "Stream[pb.RateNews, pb.RateNoted]"
--- a/mintsaddle/direct/_runner.py
+++ b/mintsaddle/direct/_runner.py
@@ -247,7 +247,7 @@
             attempt = result
 
     def _relay_attempt(self, attempt: _Attempt) -> Generator[bytes, None, bool]:
-        """Relay events of one endpoint; return whether all have come."""
+        """Relay events of one endpoint; return whether it sent all of them."""
         is_complete = False
         try:
             for event in read_events(attempt.response):
--- a/mintsaddle/direct/_switches.py
+++ b/mintsaddle/direct/_switches.py
@@ -40,8 +40,7 @@
 
 ROUNDS_PER_REPORT = 6
 """Rounds after which reports are read, in urgent stages and while weights
-load. A silent rank may have died, and then nothing of the switch is left to
-finish."""
+load. A silent rank may have died, which voids the switch."""
 
 _URGENT_STAGES = frozenset({SwitchStage.ARM, SwitchStage.RELEASE})
 
--- a/mintsaddle/platform/_messages.py
+++ b/mintsaddle/platform/_messages.py
@@ -25,7 +25,7 @@
 _URGENCY = "X-Mintsaddle-Request-Urgency"
 _NOT_EXECUTED = "X-Mintsaddle-Not-Executed"
 _LOAD = "X-Mintsaddle-Server-Load"
-_RATE_LIMITS = ("X-Mintsaddle-Server-Limit", "Server-Limit")
+_RATE_LIMIT_HEADERS = ("X-Mintsaddle-Server-Limit", "Server-Limit")
 """The header is documented without the prefix that the others have."""
 
 _FAULTY_ENDPOINT = "At-Server"
@@ -246,9 +246,9 @@
 
 
 def _read_rate_limit(headers: http.client.HTTPMessage) -> float | None:
-    found = [headers[name] for name in _RATE_LIMITS if name in headers]
+    values = [headers[name] for name in _RATE_LIMIT_HEADERS if name in headers]
     try:
-        rate = float(found[0]) if found else math.inf
+        rate = float(values[0]) if values else math.inf
     except ValueError:
         return None
     return max(0.0, rate) if math.isfinite(rate) else None
