--- a/fakes/lockstep/_entry.py
+++ b/fakes/lockstep/_entry.py
@@ -145,7 +145,7 @@
 
     def _send(self, attempt: "_Attempt", chosen: Incarnation) -> None:
         name = chosen.name
-        rank = chosen.place.rank if chosen.place else 0
+        rank = chosen.assignment.rank if chosen.assignment else 0
         record_sent(self._state, name)
         attempt.call = attempt.call._replace(sends=attempt.call.sends + 1)
         request = attempt.request
--- a/mintsaddle/decisions/direct/_first_map.py
+++ b/mintsaddle/decisions/direct/_first_map.py
@@ -1,15 +1,15 @@
 """How many streams a rank group that has just formed can serve on time.
 
-A group that was down for seconds has lost its expert map. It starts with the
-experts in turn, whatever their popularity, until the first fitting map is in
-force a second later. Meanwhile its steps take twice as long, and all waiting
+A group that was down for seconds has lost its expert map. It starts with a
+round-robin map, which ignores popularity, until the first planned map becomes
+active a second later. Meanwhile its steps take twice as long, and all waiting
 streams arrive together. Engines report new requests one step late, so each
 engine appears idle to all entries; if all streams were admitted, all would be
 late.
 
 So the number of requests that an engine can serve is derived from the
 published step model, and each entry keeps to its share of that number while
-the first map is in force.
+the round-robin map is active.
 """
 
 from collections.abc import Sequence
@@ -55,7 +55,7 @@
 
 
 def sustainable_requests(
-    steps: StepModel, skew: float, longest_pause: float, most: int
+    steps: StepModel, skew: float, longest_pause: float, slots: int
 ) -> int:
     """Return how many requests an engine can serve on time.
 
@@ -64,13 +64,13 @@
         skew: How many times longer its steps take.
         longest_pause: Longest time between two events of a stream that is on
             time, in seconds; 0 if the route sets none.
-        most: Its slots.
+        slots: Its slots.
     """
     if longest_pause <= 0:
-        return most
+        return slots
     max_step_seconds = longest_pause * PAUSE_BUDGET_SHARE / skew
     fitting = [
-        n for n in range(1, most + 1) if steps.step_seconds(n) <= max_step_seconds
+        n for n in range(1, slots + 1) if steps.step_seconds(n) <= max_step_seconds
     ]
     return max(fitting, default=1)
 
--- a/mintsaddle/platform/tests/test_translation.py
+++ b/mintsaddle/platform/tests/test_translation.py
@@ -101,7 +101,7 @@
         (change,) = self.decode("servers/i-1", value)
         assert isinstance(change, EndpointPublished)
         assert change.incarnation.cold_until == 100.5
-        assert change.incarnation.place == RankAssignment(
+        assert change.incarnation.assignment == RankAssignment(
             "llm/g", 2, 3, 4, is_open=False
         )
 
