--- a/fakes/model/_callers.py
+++ b/fakes/model/_callers.py
@@ -180,7 +180,7 @@
         if finish is not None and finish.retry_at:
             wait = max(0.1, finish.retry_at - self.world.now)
         if outcome is Outcome.NOT_RUN:
-            self._key = finish.fresh if finish else None
+            self._key = finish.fresh_key if finish else None
         elif outcome is Outcome.IN_DOUBT:
             self._in_doubt_count += 1
             if self._in_doubt_count > _MAX_IN_DOUBT_ANSWERS:
--- a/mintsaddle/daemon/_node.py
+++ b/mintsaddle/daemon/_node.py
@@ -95,7 +95,7 @@
 
     @property
     def boot(self) -> Boot:
-        """Random ID of this daemon process."""
+        """Boot number of this daemon process."""
         return self._boot
 
     @property
@@ -105,7 +105,7 @@
 
     @property
     def configuration(self) -> ConfigurationState:
-        """The fleet text and marks in force."""
+        """The active fleet text and marks."""
         return self._configuration
 
     @property
@@ -250,7 +250,7 @@
             if marks is not None:
                 self.offer_marks(sender.marks_revision, marks)
         # Recorded after adoption: otherwise the gate would open before the
-        # peer's configuration is in force.
+        # peer's configuration is active.
         answered = self._gate.answered | {sender.vm}
         self._gate = self._gate._replace(answered=answered)
         return True
--- a/mintsaddle/daemon/_peers.py
+++ b/mintsaddle/daemon/_peers.py
@@ -29,14 +29,14 @@
         node: DaemonNode,
         fill_status: Callable[[pb.Status], None],
         answer_home: Callable[[pb.HomeQuestion], pb.HomeAnswer] | None = None,
-        store_bequest: Callable[[pb.Bequest], None] | None = None,
+        store_snapshot: Callable[[pb.Bequest], None] | None = None,
         handle_group_order: Callable[[pb.GroupOrder], Awaitable[pb.GroupReply]]
         | None = None,
     ) -> None:
         self._node = node
         self._fill_status = fill_status
         self._answer_home = answer_home
-        self._store_bequest = store_bequest
+        self._store_snapshot = store_snapshot
         self._handle_group_order = handle_group_order
 
     async def Fetch(  # noqa: N802 - named by the generated base
@@ -70,11 +70,11 @@
     async def Keep(  # noqa: N802
         self, stream: Stream[pb.Bequest, pb.Kept]
     ) -> None:
-        """Store the ledger of a home that leaves."""
+        """Store a ledger snapshot of a leaving home."""
         request = await stream.recv_message()
-        if request is None or self._store_bequest is None:
+        if request is None or self._store_snapshot is None:
             return
-        self._store_bequest(request)
+        self._store_snapshot(request)
         reply = pb.Kept(stamp=write_stamp(self._node.stamp()))
         self._node.count_control_bytes(request, reply)
         await stream.send_message(reply)
--- a/mintsaddle/decisions/admission/_commands.py
+++ b/mintsaddle/decisions/admission/_commands.py
@@ -80,7 +80,7 @@
 def confirm_engine(
     state: AdmissionState, boot: Boot, reported_limit: int | None, now: Instant
 ) -> tuple[str, ...]:
-    """Record a sighting of the engine; return the requests to hand back.
+    """Record that the engine runs; return the requests to hand back.
 
     If the engine has restarted, it is cold and the queue is emptied: most of
     the queued requests could not start in time on a cold engine.
--- a/mintsaddle/decisions/admission/_queries.py
+++ b/mintsaddle/decisions/admission/_queries.py
@@ -12,10 +12,10 @@
 from mintsaddle.values import Instant, Load
 
 CONFIRMATION_TTL = 0.5
-"""Seconds for which a sighting of the engine's run stays valid.
+"""Seconds for which a confirmation of the engine's run stays valid.
 
 No engine restarts faster than this, so until then the engine is either still
-in the run that was seen or down.
+in the confirmed run or down.
 """
 
 
@@ -26,7 +26,7 @@
 def current_limit(state: AdmissionState, rules: AdmissionRules, now: Instant) -> int:
     """Return how many requests the engine may hold now.
 
-    The cold limit is exceeded only if the engine's run was seen recently.
+    The cold limit is exceeded only if the engine's run was confirmed recently.
     Otherwise a daemon that missed an engine restart would send a cold engine
     the load of a warm one, and the engine would crash again and again.
     """
--- a/mintsaddle/decisions/admission/_state.py
+++ b/mintsaddle/decisions/admission/_state.py
@@ -92,7 +92,7 @@
 
     @property
     def confirmed_at(self) -> Instant:
-        """When the engine's run was last seen alive."""
+        """When the engine's run was last confirmed."""
         return self._confirmed_at
 
     @property
@@ -136,7 +136,7 @@
     def replace_engine(
         self, boot: Boot | None, confirmed_at: Instant, reported_limit: int | None
     ) -> None:
-        """Set the engine's run, when it was seen and its reported limit."""
+        """Set the engine's run, its confirmation time and reported limit."""
         self._engine_boot = boot
         self._confirmed_at = confirmed_at
         self._reported_limit = reported_limit
--- a/mintsaddle/decisions/arrivals/_commands.py
+++ b/mintsaddle/decisions/arrivals/_commands.py
@@ -61,7 +61,7 @@
     if fleet is None:
         return _refuse(arrival, _unserved_claim(arrival), Reason.NOT_SERVED, now)
     if arrival.key is not None:
-        return _arrive_order(state, fleet, arrival, arrival.key, now)
+        return _handle_order_arrival(state, fleet, arrival, arrival.key, now)
     return _admit(state, fleet, arrival, now)
 
 
@@ -99,7 +99,7 @@
 def handle_engine_up(
     state: EndpointState, boot: Boot, reported_limit: int | None, now: Instant
 ) -> Actions:
-    """Record that the engine's run was seen."""
+    """Record that a run of the engine was confirmed."""
     returned = confirm_engine(state.admission, boot, reported_limit, now)
     rules = rules_of(state.configuration.fleet, state.vm)
     started = start_waiting(state.admission, rules, now)
@@ -120,7 +120,7 @@
 
 
 def apply_configuration(state: EndpointState, now: Instant) -> Actions:
-    """Apply the fleet text and marks in force after either has changed."""
+    """Apply the active fleet text and marks after either has changed."""
     fleet = state.configuration.fleet
     if fleet is None:
         return ()
@@ -154,7 +154,7 @@
     )
 
 
-def _arrive_order(
+def _handle_order_arrival(
     state: EndpointState,
     fleet: Fleet,
     arrival: Arrival,
@@ -166,7 +166,7 @@
     A former home still knows the outcome of the orders it ran. Only the home
     that issued a key can state that the key will never run.
     """
-    verdict = decide_key(
+    decision = decide_key(
         state.orders,
         key,
         arrival.service,
@@ -174,21 +174,21 @@
         fleet.ledger_window,
         now,
     )
-    if verdict.action is KeyAction.RUN:
+    if decision.action is KeyAction.RUN:
         return _admit(state, fleet, arrival, now)
-    return _answer_known(state, arrival, key, verdict)
+    return _apply_key_decision(state, arrival, key, decision)
 
 
-def _answer_known(
-    state: EndpointState, arrival: Arrival, key: OrderKey, verdict: KeyDecision
+def _apply_key_decision(
+    state: EndpointState, arrival: Arrival, key: OrderKey, decision: KeyDecision
 ) -> Actions:
-    if verdict.action is KeyAction.JOIN:
+    if decision.action is KeyAction.JOIN:
         state.join(key.text, arrival.request_id)
         return (AcceptArrival(arrival.request_id),)
-    if verdict.entry is not None:
-        return (AnswerArrival(arrival.request_id, verdict.entry),)
-    assert verdict.refusal is not None
-    return (RefuseArrival(arrival.request_id, verdict.refusal),)
+    if decision.entry is not None:
+        return (AnswerArrival(arrival.request_id, decision.entry),)
+    assert decision.refusal is not None
+    return (RefuseArrival(arrival.request_id, decision.refusal),)
 
 
 def _admit(
--- a/mintsaddle/decisions/arrivals/_state.py
+++ b/mintsaddle/decisions/arrivals/_state.py
@@ -34,7 +34,7 @@
 
     @property
     def configuration(self) -> ConfigurationState:
-        """The fleet text and marks in force."""
+        """The active fleet text and marks."""
         return self._configuration
 
     @property
--- a/mintsaddle/decisions/calls/_endings.py
+++ b/mintsaddle/decisions/calls/_endings.py
@@ -38,10 +38,10 @@
     jitter = _RETRY_JITTER * context.rng.random()
     retry_at = max(state.retry_at, now + _RETRY_DELAY) + jitter
     outcome = _final_outcome(state, reason)
-    fresh = None
+    fresh_key = None
     if outcome is Outcome.NOT_RUN and is_order(state):
-        fresh = _draw_fresh_key(state, context, now)
-    return finish(state, outcome, reason, retry_at, fresh)
+        fresh_key = _draw_fresh_key(state, context, now)
+    return finish(state, outcome, reason, retry_at, fresh_key)
 
 
 def _draw_fresh_key(
@@ -63,9 +63,9 @@
     order = is_order(state)
     if state.reached:
         return Outcome.IN_DOUBT if order else Outcome.ASK_AGAIN
-    brought = state.request.key is not None
+    has_key = state.request.key is not None
     refused_by_home = state.attempts > 0 and reason is not Reason.UNREACHABLE
-    if order and brought and not refused_by_home:
+    if order and has_key and not refused_by_home:
         # Only the home can state that a key held by the caller did not run,
         # since another entry may have delivered an earlier attempt.
         return Outcome.ASK_AGAIN
@@ -77,10 +77,10 @@
     outcome: Outcome,
     reason: Reason | None,
     retry_at: Instant,
-    fresh: OrderKey | None = None,
+    fresh_key: OrderKey | None = None,
 ) -> CallActions:
     """Close the call and report its outcome to the caller."""
     count = state.delivered
     key = state.request.key or state.last_key
     state.close()
-    return (FinishCall(outcome, reason, retry_at, count, key, fresh),)
+    return (FinishCall(outcome, reason, retry_at, count, key, fresh_key),)
--- a/mintsaddle/decisions/calls/_failures.py
+++ b/mintsaddle/decisions/calls/_failures.py
@@ -10,7 +10,7 @@
 from mintsaddle.decisions.calls._queries import can_complete_elsewhere, is_order
 from mintsaddle.decisions.calls._state import Attempt, CallState, RoutingContext
 from mintsaddle.decisions.routing import (
-    has_free_place,
+    has_free_capacity,
     may_retry,
     record_failed,
     record_refused,
@@ -86,7 +86,7 @@
         return False
     service = state.request.service
     return any(
-        has_free_place(context.routing, service, name, now)
+        has_free_capacity(context.routing, service, name, now)
         for name in service.endpoints
         if name not in state.tried and not context.marks.is_out(context.fleet, name)
     )
--- a/mintsaddle/decisions/calls/_messages.py
+++ b/mintsaddle/decisions/calls/_messages.py
@@ -131,7 +131,7 @@
     """Number of chunks delivered."""
 
     key: OrderKey | None
-    fresh: OrderKey | None = None
+    fresh_key: OrderKey | None = None
     """For an order that did not run: a key of a home that is answering."""
 
 
--- a/mintsaddle/decisions/calls/_state.py
+++ b/mintsaddle/decisions/calls/_state.py
@@ -95,7 +95,7 @@
 
     @property
     def last_key(self) -> OrderKey | None:
-        """The key of the last attempt, brought by the caller or drawn here."""
+        """The key of the last attempt, sent by the caller or drawn here."""
         return self._last_key
 
     @property
--- a/mintsaddle/decisions/calls/tests/test_calls.py
+++ b/mintsaddle/decisions/calls/tests/test_calls.py
@@ -193,8 +193,8 @@
         call = CallHarness("orders", BROUGHT).apply(AttemptRefused(1, NEVER))
         finish = call.finish()
         assert finish is not None
-        assert finish.fresh is not None
-        assert finish.fresh.text != BROUGHT.text
+        assert finish.fresh_key is not None
+        assert finish.fresh_key.text != BROUGHT.text
 
     def test_order_is_never_sent_twice_by_an_entry(self) -> None:
         call = CallHarness("orders").apply(FAILED, TimerFired(), now=NOW + 11)
--- a/mintsaddle/decisions/orders/_commands.py
+++ b/mintsaddle/decisions/orders/_commands.py
@@ -23,10 +23,10 @@
 LEDGER_LIMIT = 50_000
 """Maximum orders in the ledger window; a full ledger refuses new ones."""
 
-_RETRY_DELAY_S = 0.5
+_RETRY_DELAY_SECONDS = 0.5
 """Delay before a refused caller may retry."""
 
-_RESTORE_PERIOD_S = 3.0
+_RESTORE_PERIOD_SECONDS = 3.0
 """Time after a start in which the previous run's ledger may be restored."""
 
 
@@ -72,7 +72,7 @@
     if refusal is not None:
         return KeyDecision(KeyAction.REFUSE, refusal=refusal)
     if len(state.ledger) >= LEDGER_LIMIT:
-        full = Refusal(Claim.NONE, Reason.FULL, now + _RETRY_DELAY_S)
+        full = Refusal(Claim.NONE, Reason.FULL, now + _RETRY_DELAY_SECONDS)
         return KeyDecision(KeyAction.REFUSE, refusal=full)
     entry = LedgerEntry(key, service, OrderStatus.PENDING)
     state.put_entry(entry)
@@ -119,7 +119,7 @@
 
 def _answer_known(known: LedgerEntry, service: str, now: Instant) -> KeyDecision:
     if known.service != service:
-        refusal = Refusal(Claim.MAYBE, Reason.WRONG_HOME, now + _RETRY_DELAY_S)
+        refusal = Refusal(Claim.MAYBE, Reason.WRONG_HOME, now + _RETRY_DELAY_SECONDS)
         return KeyDecision(KeyAction.REFUSE, refusal=refusal)
     if known.status is OrderStatus.PENDING:
         return KeyDecision(KeyAction.JOIN, entry=known)
@@ -150,16 +150,16 @@
     """
     issued = key.origin is KeyOrigin.ISSUED
     claim = Claim.NEVER if issued else Claim.NONE
-    return Refusal(claim, Reason.LEAVING, now + _RETRY_DELAY_S)
+    return Refusal(claim, Reason.LEAVING, now + _RETRY_DELAY_SECONDS)
 
 
 def _refuse_issued(state: OrdersState, key: OrderKey, now: Instant) -> Refusal | None:
     """Refuse an issued key unless it names this run.
 
     Otherwise a home that lost its ledger in a restart would run an order of
-    its previous run again. The key names a boot, and each run has its own. A
-    run that ended as planned has stored its complete ledger: a key that isn't
-    in it has not run.
+    its previous run again. The key contains a boot number, and each run has
+    its own. A run that ended as planned has stored its complete ledger: a key
+    that isn't in it has not run.
     """
     is_here = key.home_tag == home_tag(state.vm)
     if is_here and key.boot == state.boot:
@@ -167,8 +167,8 @@
     floor = state.ended_runs.get(key.boot)
     if is_here and floor is not None and key.date > floor:
         return Refusal(Claim.NEVER, Reason.LEAVING, now)
-    if is_here and now < state.boot_at + _RESTORE_PERIOD_S:
-        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _RETRY_DELAY_S)
+    if is_here and now < state.boot_at + _RESTORE_PERIOD_SECONDS:
+        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _RETRY_DELAY_SECONDS)
     return Refusal(Claim.MAYBE, Reason.WRONG_HOME, now)
 
 
@@ -177,9 +177,9 @@
 ) -> Refusal | None:
     home = state.homes.get(service)
     if home is None or find_home(home.wanted.homes, key.text) != state.vm:
-        return Refusal(Claim.NONE, Reason.WRONG_HOME, now + _RETRY_DELAY_S)
+        return Refusal(Claim.NONE, Reason.WRONG_HOME, now + _RETRY_DELAY_SECONDS)
     if not home_is_settled(home):
-        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _RETRY_DELAY_S)
+        return Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, now + _RETRY_DELAY_SECONDS)
     if key.date > now + clock_bound:
         return Refusal(Claim.NONE, Reason.KEY_IN_FUTURE, key.date)
     if key.date <= find_floor(state, home, key.text):
--- a/mintsaddle/decisions/orders/_handover.py
+++ b/mintsaddle/decisions/orders/_handover.py
@@ -103,6 +103,7 @@
 
 
 def merge_entries(state: OrdersState, entries: Iterable[LedgerEntry]) -> None:
+    """Add another ledger's entries; replace known ones only if in doubt."""
     for entry in entries:
         known = state.ledger.get(entry.key.text)
         if known is None or known.status is OrderStatus.IN_DOUBT:
--- a/mintsaddle/decisions/orders/_homes.py
+++ b/mintsaddle/decisions/orders/_homes.py
@@ -2,11 +2,11 @@
 
 A home runs caller-supplied keys of a service only while it is *settled*: every
 home of the old and the new list has acknowledged the new one, in two rounds
-with the same boots. One round is not enough: A acknowledges and restarts, C
-(still on the old list) confirms A's old list, then C acknowledges; the new
-home starts while A runs on the old list. Two rounds guarantee that at one
-moment all of them knew the new list. In the second round each home hands over
-its entries for the asker's keys, so a move leaves no key in doubt.
+with the same boot numbers. One round is not enough: A acknowledges and
+restarts, C (still on the old list) confirms A's old list, then C acknowledges;
+the new home starts while A runs on the old list. Two rounds guarantee that at
+one moment all of them knew the new list. In the second round each home hands
+over its entries for the asker's keys, so a move leaves no key in doubt.
 
 A restarted home is not *anchored*: the text it has read may be older than an
 agreed one. It runs no caller-supplied key until an anchored home has answered
@@ -50,10 +50,10 @@
 clock may be one bound ahead of the clock of the home that replaces it.
 """
 
-ALL_ANSWERS_TIMEOUT_S = 1.5
+ALL_ANSWERS_TIMEOUT_SECONDS = 1.5
 """Time for all homes to answer; later one settled home's answer is enough."""
 
-_ROUND_RETRY_S = 2.0
+_ROUND_RETRY_SECONDS = 2.0
 """Delay before new rounds while no home is anchored."""
 
 _NONCE_BITS = 62
@@ -86,8 +86,8 @@
         return
     home = home._replace(bootstrap=bootstrap)
     if home.wanted != wanted:
-        followed = (*home.unsettled, home.wanted)
-        home = home._replace(wanted=wanted, unsettled=followed)
+        unsettled = (*home.unsettled, home.wanted)
+        home = home._replace(wanted=wanted, unsettled=unsettled)
         home = _restart(home._replace(single_answer_at=0.0, handed_over_to=frozenset()))
     state.put_home(service, home)
 
@@ -105,7 +105,7 @@
     answered = home.second_round_boots if second else home.first_round_boots
     others = sorted(home.wanted.to_ask - {state.vm} - set(answered))
     nonces = {name: rng.getrandbits(_NONCE_BITS) for name in others}
-    single_answer_at = home.single_answer_at or now + ALL_ANSWERS_TIMEOUT_S
+    single_answer_at = home.single_answer_at or now + ALL_ANSWERS_TIMEOUT_SECONDS
     state.put_home(
         service, home._replace(nonces=nonces, single_answer_at=single_answer_at)
     )
@@ -223,7 +223,7 @@
         if not _may_settle(state, home, clock_bound):
             # All agree but none is anchored: repeat the rounds until one is
             # or the operator publishes a bootstrap date.
-            return _restart(home)._replace(next_ask_at=now + _ROUND_RETRY_S)
+            return _restart(home)._replace(next_ask_at=now + _ROUND_RETRY_SECONDS)
         home = restore_ledger(state, home, others)
         return _settle(home, _find_move_floor(home, unknown_until))
     confirmed = answer.homes == home.wanted and answer.settled and home.anchored
--- a/mintsaddle/decisions/orders/_state.py
+++ b/mintsaddle/decisions/orders/_state.py
@@ -41,7 +41,7 @@
     """One agreement on a list of homes, and the floor for keys it moved here.
 
     A floor is a date up to which a key may have run elsewhere, so that a key
-    drawn at or before it is refused.
+    dated at or before it is refused.
     """
 
     previous_lists: tuple[OrderHomes, ...]
@@ -105,10 +105,10 @@
     """1 while collecting acknowledgements, 2 while repeating the questions."""
 
     first_round_boots: Mapping[str, Boot] = {}
-    """Boot of each home that acknowledged in the first round."""
+    """Boot number of each home that acknowledged in the first round."""
 
     second_round_boots: Mapping[str, Boot] = {}
-    """Boot of each home that acknowledged in the second round."""
+    """Boot number of each home that acknowledged in the second round."""
 
     floors: Mapping[str, Instant] = {}
     """Date after which each home has handed over all its entries."""
--- a/mintsaddle/decisions/routing/__init__.py
+++ b/mintsaddle/decisions/routing/__init__.py
@@ -16,7 +16,7 @@
     choose_endpoint,
     choose_subset,
     draw_key,
-    has_free_place,
+    has_free_capacity,
     may_retry,
 )
 from mintsaddle.decisions.routing._state import EndpointView, RoutingState
@@ -30,7 +30,7 @@
     "choose_subset",
     "clear_backoff",
     "draw_key",
-    "has_free_place",
+    "has_free_capacity",
     "may_retry",
     "record_failed",
     "record_finished",
--- a/mintsaddle/decisions/routing/_commands.py
+++ b/mintsaddle/decisions/routing/_commands.py
@@ -79,8 +79,8 @@
     """
     view = state.view(endpoint)
     backoff = min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2**view.failures)
-    # The daemon may restart with another boot, so the known boot is cleared:
-    # a key issued to an ended boot could only end in doubt.
+    # The daemon may restart with another boot number, so the known one is
+    # cleared: a key issued for a run that has ended could only end in doubt.
     view = view._replace(
         failures=view.failures + 1, blocked_until=now + backoff, boot=None
     )
--- a/mintsaddle/decisions/routing/_queries.py
+++ b/mintsaddle/decisions/routing/_queries.py
@@ -36,17 +36,17 @@
     reserved for others, so that the entry can still route if the local data
     centre fails.
     """
-    places = tuple(
+    endpoints = tuple(
         (name, fleet.endpoints[name].data_centre == state.data_centre)
         for name in service.endpoints
     )
-    return _rank_subset(state.vm, places)
+    return _rank_subset(state.vm, endpoints)
 
 
 @lru_cache(maxsize=256)
-def _rank_subset(vm: str, places: tuple[tuple[str, bool], ...]) -> tuple[str, ...]:
-    local = rank_by_score(vm, [name for name, is_local in places if is_local])
-    remote = rank_by_score(vm, [name for name, is_local in places if not is_local])
+def _rank_subset(vm: str, endpoints: tuple[tuple[str, bool], ...]) -> tuple[str, ...]:
+    local = rank_by_score(vm, [name for name, is_local in endpoints if is_local])
+    remote = rank_by_score(vm, [name for name, is_local in endpoints if not is_local])
     local_count = max(SUBSET_SIZE // 2, SUBSET_SIZE - len(remote))
     chosen = local[:local_count]
     return (*chosen, *remote[: SUBSET_SIZE - len(chosen)])
@@ -76,7 +76,7 @@
     if not available:
         return _earliest_available(state, names)
     service = request.service
-    free = [name for name in available if has_free_place(state, service, name, now)]
+    free = [name for name in available if has_free_capacity(state, service, name, now)]
     local = [
         name for name in free if fleet.endpoints[name].data_centre == state.data_centre
     ]
@@ -88,7 +88,7 @@
     return min(pair, key=lambda name: _utilisation(state, service, name, now))
 
 
-def has_free_place(
+def has_free_capacity(
     state: RoutingState, service: Service, endpoint: str, now: Instant
 ) -> bool:
     """Return whether an endpoint is estimated to have capacity."""
@@ -105,7 +105,7 @@
 ) -> str | None:
     """Return a home endpoint for a new key.
 
-    Only endpoints with a known boot qualify, since the key contains the boot.
+    Only endpoints with a known boot number qualify: the key contains it.
     """
     unknown = [
         name for name in request.service.endpoints if state.view(name).boot is None
--- a/mintsaddle/decisions/routing/_state.py
+++ b/mintsaddle/decisions/routing/_state.py
@@ -30,7 +30,7 @@
     """Value of `own_in_flight` at the time of that report."""
 
     boot: Boot | None = None
-    """Boot of the endpoint's daemon, if known; used to issue keys."""
+    """Boot number of the endpoint's daemon, if known; used to issue keys."""
 
     failures: int = 0
     """Consecutive failures; reset to 0 by a reported load."""
--- a/mintsaddle/endpoint/_coordinator.py
+++ b/mintsaddle/endpoint/_coordinator.py
@@ -184,10 +184,12 @@
         if reply is None:
             return
         reading = read_reading(reply) if reply.has_reading else None
-        answer = RankReply(order, reply.stamp.boot, reply.ballot, reply.obeyed, reading)
+        rank_reply = RankReply(
+            order, reply.stamp.boot, reply.ballot, reply.obeyed, reading
+        )
         if reading is not None and order.act is GroupAct.READ:
             self._replies[order.rank] = reply
-        record_reply(state, answer)
+        record_reply(state, rank_reply)
 
     async def _send_order(
         self, vm: str, message: pb.GroupOrder
@@ -218,19 +220,22 @@
         """Return the map active on all ranks, assembled from their replies."""
         group = self._host.group
         replies = [self._replies.get(rank) for rank in range(len(group.ranks))]
-        answers = [reply for reply in replies if reply is not None]
-        if len(answers) < len(replies) or len({reply.active for reply in answers}) > 1:
+        received = [reply for reply in replies if reply is not None]
+        if (
+            len(received) < len(replies)
+            or len({reply.active for reply in received}) > 1
+        ):
             return None
-        if any(len(reply.slots) != group.layers * group.slots for reply in answers):
+        if any(len(reply.slots) != group.layers * group.slots for reply in received):
             return None
         layers = tuple(
             tuple(
                 tuple(reply.slots[layer * group.slots : (layer + 1) * group.slots])
-                for reply in answers
+                for reply in received
             )
             for layer in range(group.layers)
         )
-        return ExpertMap(answers[0].active, layers)
+        return ExpertMap(received[0].active, layers)
 
     def _sum_popularity(self) -> list[list[float]]:
         group = self._host.group
--- a/mintsaddle/endpoint/_homes.py
+++ b/mintsaddle/endpoint/_homes.py
@@ -57,22 +57,22 @@
     return write_home_answer(answer, node.stamp())
 
 
-async def hand_off_ledger(node: DaemonNode, orders: OrdersState) -> None:
-    """Send the ledger to the other homes, to be kept for the next run."""
+async def hand_over_ledger(node: DaemonNode, orders: OrdersState) -> None:
+    """Send ledger snapshots to the other homes, stored for the next run."""
     transfers = [
-        _send_bequest(node, vm, bequest)
-        for bequest in close_ledger(orders)
-        for vm in orders.homes[bequest.service].wanted.to_ask - {orders.vm}
+        _send_snapshot(node, vm, snapshot)
+        for snapshot in close_ledger(orders)
+        for vm in orders.homes[snapshot.service].wanted.to_ask - {orders.vm}
     ]
     await asyncio.gather(*transfers)
 
 
-async def _send_bequest(node: DaemonNode, vm: str, bequest: LedgerSnapshot) -> None:
+async def _send_snapshot(node: DaemonNode, vm: str, snapshot: LedgerSnapshot) -> None:
     fleet = node.configuration.fleet
     address = fleet.address_of(vm) if fleet else None
     if address is None:
         return
-    message = write_bequest(bequest, node.stamp())
+    message = write_bequest(snapshot, node.stamp())
     try:
         await PeerStub(node.channels.open(address)).Keep(message, timeout=_RPC_TIMEOUT)
     except Exception as error:
--- a/mintsaddle/endpoint/_run.py
+++ b/mintsaddle/endpoint/_run.py
@@ -23,7 +23,7 @@
 )
 from mintsaddle.decisions.orders import home_is_settled, store_snapshot
 from mintsaddle.endpoint._groups import GroupRunner
-from mintsaddle.endpoint._homes import answer_home, hand_off_ledger, run_settle_loop
+from mintsaddle.endpoint._homes import answer_home, hand_over_ledger, run_settle_loop
 from mintsaddle.endpoint._host import EndpointHost
 from mintsaddle.endpoint._service import CallService
 from mintsaddle.engines import probe_engine
@@ -35,13 +35,13 @@
 PROBE_INTERVAL = 0.2
 """Seconds between probes of a busy engine.
 
-Shorter than the time for which a sighting of the engine stays valid.
+Shorter than the time for which a confirmation of the engine's run stays valid.
 """
 
 IDLE_PROBE_INTERVAL = 1.0
 """Seconds between probes of an idle engine.
 
-Sightings expire in between, so an idle engine is treated as cold.
+Confirmations expire in between, so an idle engine is treated as cold.
 """
 
 # In seconds.
@@ -64,7 +64,7 @@
     wait_for_stop()
     loop_thread.submit(_shut_down(host)).result()
     loop_thread.stop()
-    _log.info("Stopped; no request was interrupted.")
+    _log.info("Stopped after all calls ended.")
     return 0
 
 
@@ -78,7 +78,7 @@
         node,
         fill_status=lambda status: describe_endpoint(host, groups, status),
         answer_home=lambda question: answer_home(node, state.orders, question),
-        store_bequest=lambda message: store_snapshot(
+        store_snapshot=lambda message: store_snapshot(
             state.orders, read_bequest(message)
         ),
         handle_group_order=groups.handle_order,
@@ -96,7 +96,7 @@
     await refresh_configuration(host.node)
     while not may_exit(host.state, host.node.now()):
         await asyncio.sleep(_DRAIN_POLL_INTERVAL)
-    await hand_off_ledger(host.node, host.state.orders)
+    await hand_over_ledger(host.node, host.state.orders)
     while host.has_open_mailboxes():
         await asyncio.sleep(_DRAIN_POLL_INTERVAL)
 
--- a/mintsaddle/entry/_answers.py
+++ b/mintsaddle/entry/_answers.py
@@ -55,7 +55,7 @@
         finish.retry_at,
         finish.delivered,
         finish.key,
-        finish.fresh,
+        finish.fresh_key,
     )
 
 
--- a/mintsaddle/entry/_http.py
+++ b/mintsaddle/entry/_http.py
@@ -61,7 +61,7 @@
         return len(self._open_calls)
 
     def mark_homes_polled(self) -> None:
-        """Record that the homes of orders were asked for their boot IDs."""
+        """Record that the homes were asked for their boot numbers."""
         self._homes_polled = True
 
     def refuse_after(self, instant: Instant) -> None:
--- a/mintsaddle/entry/_run.py
+++ b/mintsaddle/entry/_run.py
@@ -100,9 +100,9 @@
 async def _poll_unknown_homes(
     node: DaemonNode, routing: RoutingState, app: EntryApp
 ) -> None:
-    """Ask homes whose boot ID this entry doesn't know yet.
+    """Ask homes whose boot number this entry doesn't know yet.
 
-    An issued key contains the boot ID of its home. Each reply of the home
+    An issued key contains the boot number of its home. Each reply of the home
     carries it, but before the first reply the entry has to ask for it.
     """
     while True:
--- a/mintsaddle/fleet/_model.py
+++ b/mintsaddle/fleet/_model.py
@@ -28,7 +28,7 @@
 
 
 class EntryVm(NamedTuple):
-    """A VM that callers reach through the platform's balancer."""
+    """A VM that callers reach through the platform's load balancer."""
 
     name: str
     data_centre: str
--- a/mintsaddle/transport/_convert.py
+++ b/mintsaddle/transport/_convert.py
@@ -156,20 +156,20 @@
     )
 
 
-def write_bequest(bequest: LedgerSnapshot, stamp: Stamp) -> pb.Bequest:
-    """Convert the ledger of a leaving home to its message."""
+def write_bequest(snapshot: LedgerSnapshot, stamp: Stamp) -> pb.Bequest:
+    """Convert the ledger snapshot of a leaving home to its message."""
     return pb.Bequest(
         stamp=write_stamp(stamp),
-        vm=bequest.vm,
-        boot=bequest.boot,
-        service=bequest.service,
-        floor=bequest.floor,
-        entries=[_write_entry(entry) for entry in bequest.entries],
+        vm=snapshot.vm,
+        boot=snapshot.boot,
+        service=snapshot.service,
+        floor=snapshot.floor,
+        entries=[_write_entry(entry) for entry in snapshot.entries],
     )
 
 
 def read_bequest(message: pb.Bequest) -> LedgerSnapshot:
-    """Convert a message to the ledger of a leaving home."""
+    """Convert a message to the ledger snapshot of a leaving home."""
     entries = _read_entries(message.entries, message.service)
     return LedgerSnapshot(
         message.vm, message.boot, message.service, message.floor, entries
--- a/mintsaddle/values/_stamps.py
+++ b/mintsaddle/values/_stamps.py
@@ -17,10 +17,10 @@
     """Boot number of the sending daemon."""
 
     text_revision: int
-    """Revision of the fleet text in force; 0 if there is none yet."""
+    """Revision of the active fleet text; 0 if there is none yet."""
 
     marks_revision: int
-    """Revision of the marks in force; 0 if there are none yet."""
+    """Revision of the active marks; 0 if there are none yet."""
 
     def is_newer_than(self, other: "Stamp") -> bool:
         """Return whether this sender has a newer fleet text or newer marks."""
