--- a/mintsaddle/decisions/calls/_attempts.py
+++ b/mintsaddle/decisions/calls/_attempts.py
@@ -75,11 +75,13 @@
     service = state.request.service
     if key.origin is KeyOrigin.SUPPLIED:
         return find_home(list_homes(service).homes, key.text)
-    named = [name for name in context.fleet.endpoints if home_tag(name) == key.home_tag]
-    for name in named:
+    matching = [
+        name for name in context.fleet.endpoints if home_tag(name) == key.home_tag
+    ]
+    for name in matching:
         if context.routing.view(name).boot == key.boot:
             return name
-    return named[0] if named else None
+    return matching[0] if matching else None
 
 
 def _send(
--- a/mintsaddle/decisions/calls/_messages.py
+++ b/mintsaddle/decisions/calls/_messages.py
@@ -132,7 +132,7 @@
 
     key: OrderKey | None
     fresh_key: OrderKey | None = None
-    """For an order that did not run: a key of a home that is answering."""
+    """For an order that did not run: new key to retry at an available home."""
 
 
 CallAction: TypeAlias = (
--- a/mintsaddle/endpoint/_groups.py
+++ b/mintsaddle/endpoint/_groups.py
@@ -42,7 +42,7 @@
             return pb.GroupReply(stamp=write_stamp(self._node.stamp()))
         return await host.handle_order(message)
 
-    def describe(self, status: pb.Status) -> None:
+    def add_to_status(self, status: pb.Status) -> None:
         """Add the groups to a status message."""
         for host in self._hosts.values():
-            host.describe(status)
+            host.add_to_status(status)
--- a/mintsaddle/endpoint/_ranks.py
+++ b/mintsaddle/endpoint/_ranks.py
@@ -86,7 +86,7 @@
         self._skew = skew
         self._plan_note = note
 
-    def describe(self, status: pb.Status) -> None:
+    def add_to_status(self, status: pb.Status) -> None:
         """Add this rank to a status message."""
         standing = status.groups.add(
             group=self._group.name,
--- a/mintsaddle/endpoint/_run.py
+++ b/mintsaddle/endpoint/_run.py
@@ -76,7 +76,7 @@
     node.on_change(groups.apply_configuration)
     peers = PeerService(
         node,
-        fill_status=lambda status: describe_endpoint(host, groups, status),
+        fill_status=lambda status: fill_endpoint_status(host, groups, status),
         answer_home=lambda question: answer_home(node, state.orders, question),
         store_snapshot=lambda message: store_snapshot(
             state.orders, read_bequest(message)
@@ -129,11 +129,11 @@
         await asyncio.sleep(_TICK_INTERVAL)
 
 
-def describe_endpoint(
+def fill_endpoint_status(
     host: EndpointHost, groups: GroupRunner, status: pb.Status
 ) -> None:
     """Fill in the endpoint fields of a status message."""
-    groups.describe(status)
+    groups.add_to_status(status)
     state = host.state
     load = describe_endpoint_load(state, host.node.now())
     status.load.CopyFrom(write_load(load))
--- a/mintsaddle/entry/_calls.py
+++ b/mintsaddle/entry/_calls.py
@@ -244,7 +244,7 @@
 
 
 def unknown_homes(fleet: Fleet, routing: RoutingState) -> tuple[str, ...]:
-    """Return the homes of orders whose boot number isn't known yet."""
+    """Return the order homes whose boot number isn't known yet."""
     return tuple(
         name
         for service in fleet.services.values()
