--- a/mintsaddle/decisions/calls/_messages.py
+++ b/mintsaddle/decisions/calls/_messages.py
@@ -131,8 +131,8 @@
     """Number of chunks delivered."""
 
     key: OrderKey | None
-    fresh: OrderKey | None = None
-    """For an order that did not run: a key of a home that is answering."""
+    fresh_key: OrderKey | None = None
+    """For an order that did not run: new key to retry at an available home."""
 
 
 CallAction: TypeAlias = (
