--- a/mintsaddle/decisions/calls/tests/test_calls.py
+++ b/mintsaddle/decisions/calls/tests/test_calls.py
@@ -51,7 +51,7 @@
 """
 FLEET = read_fleet("fleet", TEXT).unwrap()
 NOW = 1_800_000_000.0
-BROUGHT = parse_key("01938a3c-8000-7000-8000-000000000001").unwrap()
+SUPPLIED_KEY = parse_key("01938a3c-8000-7000-8000-000000000001").unwrap()
 NEVER = Refusal(Claim.NEVER, Reason.FULL, NOW + 1)
 NONE = Refusal(Claim.NONE, Reason.HOME_UNCONFIRMED, NOW + 1)
 MAYBE = Refusal(Claim.MAYBE, Reason.MEMORY_LOST, NOW + 1)
@@ -159,12 +159,12 @@
                 "not-run",
             ),
             ("letters", None, [UNSENT, AttemptRefused(2, NEVER)], "not-run"),
-            ("orders", BROUGHT, [AttemptRefused(1, NEVER)], "not-run"),
-            ("orders", BROUGHT, [AttemptRefused(1, NONE)], "ask-again"),
-            ("orders", BROUGHT, [AttemptRefused(1, MAYBE)], "in-doubt"),
-            ("orders", BROUGHT, [UNSENT], "ask-again"),
-            ("orders", BROUGHT, [FAILED], "in-doubt"),
-            ("orders", BROUGHT, [AttemptAccepted(1), FAILED], "in-doubt"),
+            ("orders", SUPPLIED_KEY, [AttemptRefused(1, NEVER)], "not-run"),
+            ("orders", SUPPLIED_KEY, [AttemptRefused(1, NONE)], "ask-again"),
+            ("orders", SUPPLIED_KEY, [AttemptRefused(1, MAYBE)], "in-doubt"),
+            ("orders", SUPPLIED_KEY, [UNSENT], "ask-again"),
+            ("orders", SUPPLIED_KEY, [FAILED], "in-doubt"),
+            ("orders", SUPPLIED_KEY, [AttemptAccepted(1), FAILED], "in-doubt"),
             ("orders", None, [FAILED], "in-doubt"),
             ("orders", None, [UNSENT, AttemptFailed(2, sent=False)], "not-run"),
             ("orders", None, [UNSENT, AttemptFailed(2, sent=True)], "in-doubt"),
@@ -190,11 +190,11 @@
         assert (finish.outcome, finish.delivered) == (Outcome.ASK_AGAIN, 1)
 
     def test_refused_order_gets_a_fresh_key_for_another_home(self) -> None:
-        call = CallHarness("orders", BROUGHT).apply(AttemptRefused(1, NEVER))
+        call = CallHarness("orders", SUPPLIED_KEY).apply(AttemptRefused(1, NEVER))
         finish = call.finish()
         assert finish is not None
         assert finish.fresh_key is not None
-        assert finish.fresh_key.text != BROUGHT.text
+        assert finish.fresh_key.text != SUPPLIED_KEY.text
 
     def test_order_is_never_sent_twice_by_an_entry(self) -> None:
         call = CallHarness("orders").apply(FAILED, TimerFired(), now=NOW + 11)
@@ -202,7 +202,7 @@
 
 
 class TestTime:
-    def test_silent_endpoint_is_left_for_another(self) -> None:
+    def test_unresponsive_endpoint_is_left_for_another(self) -> None:
         """Guards against calls that wait for a frozen endpoint daemon."""
         call = CallHarness("letters").apply(TimerFired(), now=NOW + 0.6)
         cancelled = [item for item in call.actions if isinstance(item, CancelAttempt)]
@@ -222,7 +222,7 @@
         assert isinstance(call.actions[-1], CancelAttempt)
 
     def test_order_of_a_caller_that_hangs_up_runs_on(self) -> None:
-        call = CallHarness("orders", BROUGHT).apply(
+        call = CallHarness("orders", SUPPLIED_KEY).apply(
             AttemptAccepted(1), CallerDisconnected()
         )
         assert not any(isinstance(item, CancelAttempt) for item in call.actions)
--- a/mintsaddle/decisions/configuration/tests/test_configuration.py
+++ b/mintsaddle/decisions/configuration/tests/test_configuration.py
@@ -27,10 +27,10 @@
     parts = [GOOD]
     for centre in range(centres):
         parts.append(f"[data centre dc{centre}]\nregion = r\n")
-        for place in range(each):
-            address = f"10.{centre}.{place // 250}.{place % 250}:7"
+        for number in range(each):
+            address = f"10.{centre}.{number // 250}.{number % 250}:7"
             parts.append(
-                f"[entry dc{centre}-{place}]\ndata centre = dc{centre}\n"
+                f"[entry dc{centre}-{number}]\ndata centre = dc{centre}\n"
                 f"address = {address}\n"
             )
     return read_fleet("fleet", "".join(parts)).unwrap()
@@ -53,7 +53,7 @@
     ) -> None:
         state = ConfigurationState()
         found = [adopt_text(state, number, text) for number, text in offers]
-        assert found == [Adoption[word] for word in adoptions.split()]
+        assert found == [Adoption[name] for name in adoptions.split()]
         assert state.text_revision == revision
 
     def test_bad_marks_leave_the_old(self) -> None:
@@ -83,7 +83,7 @@
             most = max(followed.count(vm) for vm in set(followed))
             assert most <= FAN_OUT, each
 
-    def test_platform_is_read_when_relays_are_silent(self) -> None:
+    def test_platform_is_read_when_relays_are_unresponsive(self) -> None:
         fleet = make_fleet(1, 20)
         vms = fleet.vm_names()
         follower = next(vm for vm in vms if choose_sources(fleet, vm, "dc0")[0].vm)
@@ -91,7 +91,7 @@
         assert [item.kind for item in sources] == [SourceKind.PLATFORM]
 
 
-class TestStartGate:
+class TestReadinessGate:
     @pytest.mark.parametrize(
         ("gate", "has_text", "opens"),
         [
@@ -119,7 +119,7 @@
             (ReadinessGate(frozenset(), platform_answered=True), False, False),
         ],
     )
-    def test_serves_only_when_heard(
+    def test_opens_only_once_sources_have_answered(
         self, gate: ReadinessGate, has_text: bool, opens: bool
     ) -> None:
         state = ConfigurationState()
--- a/mintsaddle/decisions/direct/tests/test_direct.py
+++ b/mintsaddle/decisions/direct/tests/test_direct.py
@@ -114,7 +114,7 @@
         assert decision == GiveUp(Outcome.NOT_RUN, Reason.GROUP_DOWN)
 
 
-class TestSilence:
+class TestAttemptTimeouts:
     def test_an_idempotent_call_leaves_time_for_a_second_attempt(self) -> None:
         call = make_call()
         assert attempt_until(call, 0.0) == 4.0
@@ -310,41 +310,41 @@
 class TestGroups:
     def test_one_refusal_counts_for_all_ranks(self) -> None:
         """Guards against trying each rank of a group that is down."""
-        beliefs = GroupAvailability()
+        availability = GroupAvailability()
         assignment = RankAssignment("llm/g", 1, 0, 12, is_open=True)
         other = make_endpoint("e-2", assignment=assignment._replace(rank=1))
-        beliefs.record_refusal("llm/g", 1, 10.0)
-        assert not beliefs.takes_work(other)
-        beliefs.record_report("llm/g", 1, True, 10.1)
-        assert not beliefs.takes_work(other)
-        beliefs.record_report("llm/g", 2, True, 10.2)
-        assert beliefs.takes_work(other)
+        availability.record_refusal("llm/g", 1, 10.0)
+        assert not availability.takes_work(other)
+        availability.record_report("llm/g", 1, True, 10.1)
+        assert not availability.takes_work(other)
+        availability.record_report("llm/g", 2, True, 10.2)
+        assert availability.takes_work(other)
 
     def test_a_false_alarm_ends_in_the_same_epoch(self) -> None:
-        beliefs = GroupAvailability()
-        beliefs.record_refusal("llm/g", 1, 10.0)
-        beliefs.record_report("llm/g", 1, True, 10.6)
-        assert not beliefs.is_down("llm/g")
+        availability = GroupAvailability()
+        availability.record_refusal("llm/g", 1, 10.0)
+        availability.record_report("llm/g", 1, True, 10.6)
+        assert not availability.is_down("llm/g")
 
     def test_a_stalled_group_is_back_with_its_next_step_only(self) -> None:
         """Guards against calls to a stalled group that reports itself open."""
-        beliefs = GroupAvailability()
-        beliefs.record_stall("g", 1, 7, 10.0)
-        beliefs.record_report("g", 1, True, 11.0)
-        beliefs.record_report("g", 1, True, 11.0, step=7)
-        assert beliefs.is_down("g")
-        beliefs.record_report("g", 1, True, 11.1, step=8)
-        assert not beliefs.is_down("g")
-        beliefs.record_stall("g", 1, 9, 12.0)
-        beliefs.record_report("g", 2, True, 14.0, step=9)
-        assert not beliefs.is_down("g")
+        availability = GroupAvailability()
+        availability.record_stall("g", 1, 7, 10.0)
+        availability.record_report("g", 1, True, 11.0)
+        availability.record_report("g", 1, True, 11.0, step=7)
+        assert availability.is_down("g")
+        availability.record_report("g", 1, True, 11.1, step=8)
+        assert not availability.is_down("g")
+        availability.record_stall("g", 1, 9, 12.0)
+        availability.record_report("g", 2, True, 14.0, step=9)
+        assert not availability.is_down("g")
 
     def test_nobody_is_held_longer_than_callers_wait(self) -> None:
         assert hold_until(make_call()) == pytest.approx(1.75)
         late = make_call()._replace(arrived_at=0.0, deadline=1.0)
         assert hold_until(late) == pytest.approx(0.75)
 
-    def test_late_streams_are_spread_over_a_return_and_nothing_else_is(self) -> None:
+    def test_only_late_streams_are_spread_after_a_recovery(self) -> None:
         """Guards against a burst of requests that all see idle engines."""
         rng = random.Random(3)
         order = make_call(Repeat.ONCE)
@@ -364,7 +364,7 @@
 
 
 class TestMembership:
-    def test_silent_entries_expire_and_seeds_are_contacted_again(self) -> None:
+    def test_unresponsive_entries_expire_and_seeds_are_contacted_again(self) -> None:
         members = Membership("e-1", "a:1", ["a:1", "a:2"])
         members.record_entry(KnownEntry("e-2", "a:2", 10.0))
         rng = random.Random(1)
@@ -389,7 +389,7 @@
         assert not member.is_holder("maps g", 100.0 + SETTLE_SECONDS / 2)
         assert member.is_holder("maps g", 100.0 + SETTLE_SECONDS)
 
-    def test_a_duty_passes_on_when_its_holder_is_silent(self) -> None:
+    def test_a_duty_passes_on_when_its_holder_is_unresponsive(self) -> None:
         """Guards against a group whose duty holder has lost power."""
         names = ["e-1", "e-2", "e-3"]
         members = {name: Membership(name, name, []) for name in names}
@@ -400,8 +400,8 @@
         others = [members[name] for name in names if name != holder]
         rng = random.Random(1)
         for member in others:
-            asked = member.choose_peers(1.0, rng, ["maps g"], is_searching=False)
-            assert holder in asked
+            chosen = member.choose_peers(1.0, rng, ["maps g"], is_searching=False)
+            assert holder in chosen
             member.record_timeout(holder)
         assert [member.is_holder("maps g", 1.5) for member in others].count(True) == 1
 
--- a/mintsaddle/decisions/direct/tests/test_pace.py
+++ b/mintsaddle/decisions/direct/tests/test_pace.py
@@ -166,7 +166,7 @@
             step_times.record("g", epoch, step, at)
         assert step_times.step_seconds("g", 0.5) == pytest.approx(0.1)
 
-    def test_a_new_epoch_begins_anew(self) -> None:
+    def test_a_new_epoch_resets_the_step_time(self) -> None:
         step_times = GroupStepTimes()
         step_times.record("g", 1, 500, 0.0)
         step_times.record("g", 2, 3, 0.5)
--- a/mintsaddle/decisions/direct/tests/test_rate_limits.py
+++ b/mintsaddle/decisions/direct/tests/test_rate_limits.py
@@ -134,7 +134,7 @@
 
     @rule(granter=st.integers(0, 5), seeing=st.sets(st.integers(0, 5)))
     def change_granter(self, granter: int, seeing: set[int]) -> None:
-        """Let an entry join, die or be cut off; some notice at once."""
+        """Let an entry join, crash or be cut off; some notice at once."""
         if self.now - self.views_since < NEW_GRANTER_SECONDS:
             return
         self.views_since = self.now
--- a/mintsaddle/decisions/direct/tests/test_restored_directory.py
+++ b/mintsaddle/decisions/direct/tests/test_restored_directory.py
@@ -73,7 +73,7 @@
         warm = apply_updates(known, [EndpointPublished(make_endpoint())], 0.0, 11.0)
         assert warm.endpoints["e-1"].cold_until == 0.0
 
-    def test_one_that_started_anew_under_its_name_stays(self) -> None:
+    def test_one_that_restarted_under_its_name_stays(self) -> None:
         """Guards against an older run in the backup replacing the latest."""
         started = make_endpoint(started_at_ms=6)._replace(cold_until=13.0)
         known = build(EndpointPublished(started))
@@ -111,12 +111,14 @@
         removed = apply_updates(restored, [EndpointRemoved("e-1")], 0.0, 11.0)
         assert not is_used(removed, HOLD_UNTIL)
 
-    def test_one_that_announces_itself_anew_is_used_at_once(self) -> None:
+    def test_one_that_announces_itself_again_is_used_at_once(self) -> None:
         restored = restore(
             self.build_with_removal(), EndpointPublished(make_endpoint())
         )
-        anew = apply_updates(restored, [EndpointPublished(make_endpoint())], 0.0, 11.0)
-        assert is_used(anew, 11.0)
+        announced = apply_updates(
+            restored, [EndpointPublished(make_endpoint())], 0.0, 11.0
+        )
+        assert is_used(announced, 11.0)
 
     def test_one_that_the_backup_lacks_is_used_until_its_grace_is_over(self) -> None:
         known = build(EndpointPublished(make_endpoint()))
@@ -155,10 +157,10 @@
 
     def test_the_run_that_stays_is_used(self) -> None:
         """Guards against ignoring a live run that seems to be older."""
-        dead, live = self.make_run("e-1", 9), self.make_run("e-2", 8)
-        for runs in ([dead, live], [live, dead]):
+        crashed, live = self.make_run("e-1", 9), self.make_run("e-2", 8)
+        for runs in ([crashed, live], [live, crashed]):
             known = build(*map(EndpointPublished, runs))
-            assert usable_endpoints(known, "desk") == (dead,)
+            assert usable_endpoints(known, "desk") == (crashed,)
             left = apply_updates(known, [EndpointRemoved("e-1")], 0.0, 10.0)
             assert usable_endpoints(left, "desk") == (live,)
 
@@ -177,7 +179,7 @@
         assert usable_endpoints(left, "desk") == ()
 
     def test_the_run_that_stays_is_used_after_a_grace(self) -> None:
-        dead, live = self.make_run("e-1", 9), self.make_run("e-2", 8)
-        known = build(EndpointPublished(live), EndpointPublished(dead))
+        crashed, live = self.make_run("e-1", 9), self.make_run("e-2", 8)
+        known = build(EndpointPublished(live), EndpointPublished(crashed))
         lapsing = apply_updates(known, [EndpointRemoved("e-1")], 12.0, 10.0)
         assert usable_endpoints(drop_expired(lapsing, 12.0), "desk") == (live,)
--- a/mintsaddle/decisions/direct/tests/test_restored_store.py
+++ b/mintsaddle/decisions/direct/tests/test_restored_store.py
@@ -26,7 +26,7 @@
 class Call(NamedTuple):
     """A call to the store whose response is pending."""
 
-    asked: Position
+    requested: Position
     is_full_read: bool
     response: StoreResponse | None
     """None if the store no longer has the requested history."""
@@ -67,13 +67,15 @@
             if (found.value if found else None) != value:
                 self.write(key, value)
 
-    def answer(self, asked: Position, *, is_full_read: bool) -> StoreResponse | None:
+    def answer(
+        self, requested: Position, *, is_full_read: bool
+    ) -> StoreResponse | None:
         era = self.era if self._names_era else None
         if is_full_read:
             return StoreResponse(tuple(self.items.values()), self.revision, era)
-        if asked.revision > self.revision:
+        if requested.revision > self.revision:
             return None
-        events = [i for i in self._history if i.revision > asked.revision]
+        events = [i for i in self._history if i.revision > requested.revision]
         return StoreResponse(tuple(events), self.revision, era)
 
 
@@ -86,10 +88,10 @@
         self.call: Call | None = None
 
     def ask(self, store: Store) -> None:
-        asked = self.replica.position
+        requested = self.replica.position
         is_full_read = self.replica.is_empty or self.polling.needs_full_read
-        response = store.answer(asked, is_full_read=is_full_read)
-        self.call = Call(asked, is_full_read, response)
+        response = store.answer(requested, is_full_read=is_full_read)
+        self.call = Call(requested, is_full_read, response)
 
     def handle_response(self) -> None:
         call, self.call = self.call, None
@@ -106,7 +108,7 @@
 
     def resolve_position(self, call: Call, response: StoreResponse) -> Position | None:
         return self.polling.resolve_position(
-            self.replica, call.asked, response, is_full_read=call.is_full_read
+            self.replica, call.requested, response, is_full_read=call.is_full_read
         )
 
     def merge_relayed(self, other: "Entry") -> None:
--- a/mintsaddle/decisions/expert_maps/tests/test_armed_switch.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_armed_switch.py
@@ -312,7 +312,7 @@
         first = _armed_begin.draw_version(reports, rng)
         assert _armed_begin.draw_version(reports, rng, above=first) > first
 
-    def test_loaded_weights_are_known_before_a_report_tells(self) -> None:
+    def test_loaded_weights_are_known_without_a_report(self) -> None:
         """Guards against steps that are held up by an outdated report."""
         group = Group()
         reports = [group.report(rank) for rank in range(RANKS)]
@@ -339,7 +339,7 @@
         assert switch.stage is SwitchStage.DONE
         assert [engine.version for engine in group.engines] == [1] * RANKS
 
-    def test_a_newer_switch_outlives_a_withdrawal(self) -> None:
+    def test_a_newer_switch_outlives_a_rollback(self) -> None:
         """Guards against disarming some ranks of a newer switch."""
         group = Group()
         for engine in group.engines:
@@ -363,7 +363,7 @@
         assert rollback.stage is SwitchStage.RELEASE
         assert [engine.armed for engine in group.engines] == [(9, 6)] * RANKS
 
-    def test_withdrawals_hold_at_ranks_drawn_by_chance(self) -> None:
+    def test_rollbacks_hold_at_random_ranks(self) -> None:
         """Guards against two rollbacks that hold at the same rank."""
         group = Group()
         group.engines[0].held = 2
@@ -396,7 +396,7 @@
         )
 
     def test_a_held_group_is_freed_by_another_coordinator(self) -> None:
-        """Guards against a group that stays held by a dead entry."""
+        """Guards against a group that stays held by a crashed entry."""
         group = Group()
         for engine in group.engines:
             engine.highest = engine.prepared = 4
--- a/mintsaddle/decisions/expert_maps/tests/test_planner.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_planner.py
@@ -19,7 +19,7 @@
 from mintsaddle.decisions.expert_maps._draft import LayerDraft
 
 FREE = PlanCost(1000.0, 0.0, 0.0)
-DEAR = PlanCost(1.0, 1e9, 1e9)
+COSTLY = PlanCost(1.0, 1e9, 1e9)
 RANKS, EXPERTS, LAYERS, SLOTS = 4, 12, 2, 4
 
 
@@ -47,8 +47,8 @@
             before = measure_skew(first(), popularity, speeds)
             assert measure_skew(planned, popularity, speeds) < before
 
-    def test_moves_that_cost_too_much_are_left(self) -> None:
-        assert plan_moves(2, first(), tokens(1), [1.0] * RANKS, DEAR) is None
+    def test_moves_that_cost_too_much_are_not_made(self) -> None:
+        assert plan_moves(2, first(), tokens(1), [1.0] * RANKS, COSTLY) is None
 
     def test_straggler_gets_less(self) -> None:
         speeds = [0.5, 1.0, 1.0, 1.0]
--- a/mintsaddle/decisions/expert_maps/tests/test_shifts.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_shifts.py
@@ -44,7 +44,7 @@
     """Return the popularity at the start of a run."""
     layers = []
     for _ in range(LAYERS):
-        shares = [1.0 / (place + 1) for place in range(EXPERTS)]
+        shares = [1.0 / (index + 1) for index in range(EXPERTS)]
         rng.shuffle(shares)
         total = sum(shares)
         layers.append([share / total for share in shares])
@@ -129,19 +129,19 @@
 
     LIMITS = choose_limits(MAX_EXPERTS, MAX_NEW_EXPERTS, LOAD_SECONDS)
 
-    def test_maps_follow_within_the_aim(self) -> None:
+    def test_maps_keep_the_skew_within_the_maximum(self) -> None:
         assert mean_skew_of_runs(self.LIMITS) <= MAX_SKEW
 
-    def test_old_counts_would_miss_the_aim(
+    def test_old_counts_would_exceed_the_maximum(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(_watch, "SHIFT_DISTANCE", 2.0)
         assert mean_skew_of_runs(self.LIMITS) > MAX_SKEW
 
-    def test_all_copies_at_once_would_miss_the_aim(self) -> None:
+    def test_all_copies_at_once_would_exceed_the_maximum(self) -> None:
         assert mean_skew_of_runs(self.LIMITS._replace(max_loads=12)) > MAX_SKEW
 
-    def test_few_copies_only_would_miss_the_aim(
+    def test_few_copies_only_would_exceed_the_maximum(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(_spread, "TARGET_SKEW", 1.5)
--- a/mintsaddle/decisions/expert_maps/tests/test_spread.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_spread.py
@@ -27,7 +27,7 @@
     rng = random.Random(seed)
     layers = []
     for _ in range(LAYERS):
-        shares = [1.0 / (place + 1) ** 1.3 for place in range(EXPERTS)]
+        shares = [1.0 / (index + 1) ** 1.3 for index in range(EXPERTS)]
         rng.shuffle(shares)
         layers.append(shares)
     return layers
@@ -144,7 +144,7 @@
         assert not self.watch_steps(0.05).is_busy
         assert self.watch_steps(0.1).is_busy
 
-    def test_a_group_without_a_named_pause_isnt_always_busy(self) -> None:
+    def test_a_group_without_a_longest_pause_isnt_always_busy(self) -> None:
         """Guards against moving weights while a group is idle."""
         watch = MapWatch(1, LAYERS, EXPERTS, 0.0)
         assert not watch.is_busy
@@ -159,7 +159,7 @@
         assert watch.plan(planned, LIMITS) is None
 
     def test_a_group_with_work_that_makes_no_steps_is_stalled(self) -> None:
-        """Guards against a stall left by a dead entry that held a step."""
+        """Guards against a stall left by a crashed entry that held a step."""
         watch = self.watch_steps(0.1)
         watch.record_step(16, 5, 2.0)
         watch.record_step(16, 5, 2.7)
@@ -168,7 +168,7 @@
         idle.record_step(16, 0, 9.0)
         assert not idle.is_stalled(9.0)
 
-    def test_a_change_of_popularity_is_followed_within_one_look(self) -> None:
+    def test_a_change_of_popularity_is_followed_within_one_poll(self) -> None:
         """Guards against averaging counts from before and after a shift."""
         watch = self.watch_steps(0.1)
         before, after = make_popularity(1), make_popularity(2)
--- a/mintsaddle/decisions/expert_maps/tests/test_stall.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_stall.py
@@ -5,7 +5,7 @@
 from mintsaddle.decisions.expert_maps import StallDetector, watchdog_timeout
 
 
-class TestStallWatch:
+class TestStallDetector:
     @pytest.mark.parametrize(
         ("reports", "is_stalled"),
         [
@@ -20,13 +20,13 @@
     def test_only_a_group_with_work_can_stand_still(
         self, reports: list[tuple[int, int, float]], is_stalled: bool
     ) -> None:
-        watch = StallDetector()
+        detector = StallDetector()
         for step, running, now in reports:
-            watch.record_step(step, running, now)
-        assert watch.is_stalled(reports[-1][2]) == is_stalled
+            detector.record_step(step, running, now)
+        assert detector.is_stalled(reports[-1][2]) == is_stalled
 
 
-class TestGuards:
+class TestWatchdogTimeout:
     def test_a_group_is_freed_before_callers_leave(self) -> None:
         """Guards against a hold that lasts until callers leave."""
         timeout = [watchdog_timeout(position) for position in range(3)]
--- a/mintsaddle/decisions/expert_maps/tests/test_switch_machine.py
+++ b/mintsaddle/decisions/expert_maps/tests/test_switch_machine.py
@@ -1,6 +1,6 @@
 """Stateful tests of the map switch under arbitrary interleavings.
 
-A fake group runs in lock-step and records each completed step whose ranks used
+A fake group runs in lockstep and records each completed step whose ranks used
 different maps. Orders and replies are delayed, duplicated or lost, daemons
 restart, two coordinators run concurrently, ranks refuse to stage, and engines
 ignore fencing.
@@ -171,14 +171,14 @@
     @rule(
         which=st.integers(0, 1),
         times=st.integers(1, 4),
-        silent=st.sampled_from([None, *range(RANKS)]),
+        unresponsive=st.sampled_from([None, *range(RANKS)]),
     )
-    def exchange(self, which: int, times: int, silent: int | None) -> None:
-        """Exchange orders and replies with all ranks except the silent one."""
+    def exchange(self, which: int, times: int, unresponsive: int | None) -> None:
+        """Exchange orders and replies with all but one unresponsive rank."""
         current = self.rounds[which]
         for _ in range(times):
             for order in next_orders(current) if current else ():
-                if order.rank == silent:
+                if order.rank == unresponsive:
                     continue
                 self.orders.append(order)
                 self.deliver_order(0)
--- a/mintsaddle/decisions/orders/tests/test_homes_machine.py
+++ b/mintsaddle/decisions/orders/tests/test_homes_machine.py
@@ -152,14 +152,14 @@
             answer = answer_question(peer.orders, question, peer.revision)
             self.answers.append((vm, home.orders.boot, answer))
 
-    @rule(vm=st.sampled_from(VMS), silent=st.sampled_from(["", *VMS]))
-    def converge(self, vm: str, silent: str) -> None:
-        """Ask three times; deliver the answers of all but the silent home."""
+    @rule(vm=st.sampled_from(VMS), unresponsive=st.sampled_from(["", *VMS]))
+    def converge(self, vm: str, unresponsive: str) -> None:
+        """Ask three times; deliver all answers but the unresponsive home's."""
         for _ in range(3):
             self.answers.clear()
             self.ask(vm)
             for index in range(len(self.answers)):
-                if self.answers[-1 - index][2].vm != silent:
+                if self.answers[-1 - index][2].vm != unresponsive:
                     self.deliver(index)
             self.now += 1.0
 
@@ -196,8 +196,8 @@
 
     def _call(self, vm: str, key: OrderKey, ends: bool) -> None:
         orders = self.homes[vm].orders
-        verdict = decide_key(orders, key, SERVICE, CLOCK_BOUND, WINDOW, self.now)
-        if verdict.action is KeyAction.RUN:
+        decision = decide_key(orders, key, SERVICE, CLOCK_BOUND, WINDOW, self.now)
+        if decision.action is KeyAction.RUN:
             self.executions[key.text] += 1
             if ends:
                 close_order(orders, key, OrderStatus.DONE, 200)
@@ -236,10 +236,10 @@
         for vm in vms:
             self.read_newest(vm)
 
-    def settle(self, vms: str, silent: str = "") -> None:
+    def settle(self, vms: str, unresponsive: str = "") -> None:
         """Let homes agree one after the other."""
         for vm in vms:
-            self.converge(vm, silent)
+            self.converge(vm, unresponsive)
 
     def runs(self, vms: str, key: OrderKey) -> int:
         """Send a key to homes; return how often it has run."""
@@ -251,7 +251,7 @@
         """Return a key dated now that texts 7, 8, ... assign to the homes."""
         for number in range(10_000):
             text = f"scenario-{len(self.keys)}-{number}"
-            lists = [TEXTS[7 + place].homes for place in range(len(homes))]
+            lists = [TEXTS[7 + index].homes for index in range(len(homes))]
             owners = tuple(find_home(names, text) for names in lists)
             if owners == homes:
                 key = OrderKey(text, KeyOrigin.SUPPLIED, self.now, 0, 0)
@@ -294,7 +294,7 @@
     scenario.restart("a", 7, planned=False)
     scenario.settle("aa")
     scenario.read_newest("c")
-    scenario.settle("b", silent="a")
+    scenario.settle("b", unresponsive="a")
     scenario.now += 2.0
     return scenario.runs("ab", scenario.key_of("a", "b"))
 
@@ -404,8 +404,8 @@
         scenario.restart("a", 7, planned=True)
         scenario.settle("aca")
         orders = scenario.homes["a"].orders
-        verdict = decide_key(orders, key, SERVICE, CLOCK_BOUND, WINDOW, scenario.now)
-        assert verdict.action is KeyAction.ANSWER
+        decision = decide_key(orders, key, SERVICE, CLOCK_BOUND, WINDOW, scenario.now)
+        assert decision.action is KeyAction.ANSWER
 
     def test_new_key_drawn_during_the_stop_runs(self) -> None:
         scenario = Scenario()
--- a/mintsaddle/direct/tests/test_pool.py
+++ b/mintsaddle/direct/tests/test_pool.py
@@ -168,7 +168,7 @@
     def test_bytes_after_an_answer_make_the_connection_unusable(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
-        """A request must not receive the answer to an earlier one."""
+        """Guards against a request that gets the answer to an earlier one."""
         exchange = Exchange(endpoint.address)
         send_request(exchange)
         endpoint.send_late(ANSWER)
@@ -209,7 +209,7 @@
     def test_a_reset_on_a_kept_connection_is_repeated_on_a_fresh_one(
         self, endpoint: Endpoint, pool: ConnectionPool
     ) -> None:
-        """A request must not fail because of the endpoint's idle timeout."""
+        """Guards against requests that fail by the endpoint's idle timeout."""
         exchange = Exchange(endpoint.address)
         send_request(exchange)
         pool.release(make_incarnation(endpoint), exchange, 3.0)
--- a/mintsaddle/direct/tests/test_probe.py
+++ b/mintsaddle/direct/tests/test_probe.py
@@ -16,7 +16,7 @@
 from mintsaddle.rank_agent.tests.standins import FakeEngine
 
 TIMEOUT = 3.0
-"""Seconds for expected answers, long enough for a busy machine."""
+"""Seconds to wait for expected responses, enough for a busy machine."""
 
 
 def read_status(_: str) -> Any:
@@ -41,7 +41,7 @@
 
 
 class TestLoadProbe:
-    def test_running_and_waiting_requests_are_told(
+    def test_running_and_waiting_requests_are_reported(
         self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: FakeEngine
     ) -> None:
         monkeypatch.setattr(_probe, "REPLY_SECONDS", TIMEOUT)
@@ -56,20 +56,20 @@
         probe = LoadProbe(SETTINGS._replace(agent_port=9), clock)
         assert probe.read_loads([make_endpoint("127.0.0.1:1", is_rank=False)]) == {}
 
-    def test_a_silent_agent_is_not_asked_for_a_while(self, clock: Clock) -> None:
-        """Requests must not all wait for an agent that doesn't respond."""
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
-            silent.bind(("127.0.0.1", 0))
-            port = silent.getsockname()[1]
+    def test_an_unresponsive_agent_is_not_asked_for_a_while(self, clock: Clock) -> None:
+        """Guards against requests that all wait for an unresponsive agent."""
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unresponsive:
+            unresponsive.bind(("127.0.0.1", 0))
+            port = unresponsive.getsockname()[1]
             probe = LoadProbe(SETTINGS._replace(agent_port=port), clock)
             endpoint = make_endpoint("127.0.0.1:1")
             for _ in range(_agents.MAX_MISSED_REPLIES + 3):
                 assert probe.read_loads([endpoint]) == {}
-            silent.setblocking(False)
-            assert self._count(silent) == _agents.MAX_MISSED_REPLIES
+            unresponsive.setblocking(False)
+            assert self._count(unresponsive) == _agents.MAX_MISSED_REPLIES
             clock.now += _agents.SILENT_BACKOFF_SECONDS
             probe.read_loads([endpoint])
-            assert self._count(silent) == 1
+            assert self._count(unresponsive) == 1
 
     def _count(self, receiver: socket.socket) -> int:
         """Return how many datagrams arrived since the last call."""
--- a/mintsaddle/direct/tests/test_rank_calls.py
+++ b/mintsaddle/direct/tests/test_rank_calls.py
@@ -27,7 +27,7 @@
     layers=1, experts=2, max_experts=2, max_new_experts=1, load_seconds=0.1
 )
 TIMEOUT = 3.0
-"""Seconds to wait for answers that are expected, on a busy machine too."""
+"""Seconds to wait for expected responses, enough for a busy machine."""
 
 
 def answer_call(path: str) -> Any:
@@ -90,7 +90,7 @@
 
 
 class TestByAgents:
-    def test_reports_by_an_agent_tell_what_holds_now(
+    def test_reports_by_an_agent_are_fresh(
         self,
         monkeypatch: pytest.MonkeyPatch,
         clock: Clock,
@@ -133,10 +133,10 @@
 
 
 class TestWithoutAgents:
-    def test_a_silent_agent_is_left_out_for_a_while(
+    def test_an_unresponsive_agent_is_left_out_for_a_while(
         self, monkeypatch: pytest.MonkeyPatch, clock: Clock, engine: FakeEngine
     ) -> None:
-        """Guards against every poll waiting for a dead agent's reply."""
+        """Guards against every poll waiting for an agent that is down."""
         calls, metric_counts = make_calls(monkeypatch, clock, port=9, seconds=0.02)
         group = make_group(engine)
         for _ in range(4):
--- a/mintsaddle/direct/tests/test_threads.py
+++ b/mintsaddle/direct/tests/test_threads.py
@@ -36,7 +36,7 @@
 
 class TestGrowth:
     def test_each_request_finds_a_thread_up_to_the_bound(self) -> None:
-        """A request must not wait behind a long stream."""
+        """Guards against a request that waits behind a long stream."""
         dispatcher, release = GrowingDispatcher(20), threading.Event()
         dispatcher.set_thread_count(INITIAL_THREADS)
         tasks = add_tasks(dispatcher, 25, release)
--- a/mintsaddle/entry/tests/test_requests.py
+++ b/mintsaddle/entry/tests/test_requests.py
@@ -31,7 +31,7 @@
 """
 FLEET = read_fleet("fleet", FLEET_TEXT).unwrap()
 NOW = 1_800_000_000.0
-CLIENT_KEY = "01938a3c-8000-7000-8000-000000000001"
+SUPPLIED_KEY = "01938a3c-8000-7000-8000-000000000001"
 
 
 def environ(**headers: str) -> dict[str, Any]:
@@ -102,14 +102,14 @@
         assert result.failure().text.count(";") == 2 + 1
 
     def test_key_of_an_order_is_read(self) -> None:
-        given = environ(IDEMPOTENCY_KEY=CLIENT_KEY)
+        given = environ(IDEMPOTENCY_KEY=SUPPLIED_KEY)
         request = read_request(given, FLEET, FLEET.services["orders"], NOW, b"")
         key = request.unwrap().key
         assert key is not None
-        assert key.text == CLIENT_KEY
+        assert key.text == SUPPLIED_KEY
 
 
-class TestAnswerProblem:
+class TestRespondWithProblem:
     @pytest.mark.parametrize(
         ("has_key", "outcome"), [(False, "not-run"), (True, "ask-again")]
     )
--- a/mintsaddle/fleet/tests/test_read.py
+++ b/mintsaddle/fleet/tests/test_read.py
@@ -82,7 +82,7 @@
             ("kind = plain", "cold limit = 9\nlimit = 4", 23, "not within 1 and 4"),
         ],
     )
-    def test_finding_has_its_place(
+    def test_finding_has_its_line(
         self, old: str, new: str, line: int, problem: str
     ) -> None:
         result = read_fleet("fleet", GOOD.replace(old, new, 1))
--- a/mintsaddle/rank_agent/tests/test_agent.py
+++ b/mintsaddle/rank_agent/tests/test_agent.py
@@ -44,39 +44,39 @@
 
 
 @pytest.fixture
-def link() -> AgentClient:
+def client() -> AgentClient:
     return AgentClient("127.0.0.1", TIMEOUT)
 
 
 class TestCalls:
     def test_calls_are_made_in_order_on_one_connection(
-        self, engine: FakeEngine, agent: RankAgent, link: AgentClient
+        self, engine: FakeEngine, agent: RankAgent, client: AgentClient
     ) -> None:
-        answers = link.ask({agent.address: [REPORT, ORDER]})
+        answers = client.ask({agent.address: [REPORT, ORDER]})
         assert answers == {
             agent.address: (
                 RankResponse(200, '{"step": 1}'),
                 RankResponse(200, '{"step": 2}'),
             )
         }
-        link.ask({agent.address: [REPORT]})
+        client.ask({agent.address: [REPORT]})
         assert engine.calls == [REPORT, ORDER, REPORT]
         assert engine.connections == 1
 
     def test_paths_outside_the_prefix_are_rejected(
-        self, engine: FakeEngine, agent: RankAgent, link: AgentClient
+        self, engine: FakeEngine, agent: RankAgent, client: AgentClient
     ) -> None:
-        asked = link.ask({agent.address: [RankCall("POST", "/letter/1", "x")]})
-        assert asked == {agent.address: (NO_RESPONSE,)}
+        answers = client.ask({agent.address: [RankCall("POST", "/letter/1", "x")]})
+        assert answers == {agent.address: (NO_RESPONSE,)}
         assert engine.calls == []
 
     def test_an_invalid_datagram_doesnt_stop_an_agent(
-        self, engine: FakeEngine, agent: RankAgent, link: AgentClient
+        self, engine: FakeEngine, agent: RankAgent, client: AgentClient
     ) -> None:
         host, _, port = agent.address.rpartition(":")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.sendto(b"garbage", (host, int(port)))
-        assert agent.address in link.ask({agent.address: [REPORT]})
+        assert agent.address in client.ask({agent.address: [REPORT]})
 
 
 class TestLostAnswers:
@@ -87,40 +87,40 @@
         fails on it.
         """
         engine.closes_connections = True
-        link = EngineConnection(engine.address, TIMEOUT)
-        assert [link.call(REPORT).status for _ in range(3)] == [200] * 3
-        assert link.is_reachable
+        connection = EngineConnection(engine.address, TIMEOUT)
+        assert [connection.call(REPORT).status for _ in range(3)] == [200] * 3
+        assert connection.is_reachable
 
     def test_an_order_is_not_sent_twice(self, engine: FakeEngine) -> None:
         """Guards against an agent that repeats an order after newer ones."""
         engine.withholds_responses = True
-        link = EngineConnection(engine.address, TIMEOUT)
-        assert link.call(ORDER) is NO_RESPONSE
+        connection = EngineConnection(engine.address, TIMEOUT)
+        assert connection.call(ORDER) is NO_RESPONSE
         assert engine.calls == [ORDER]
-        assert not link.is_reachable
+        assert not connection.is_reachable
 
     def test_an_unresponsive_agent_doesnt_delay_the_others(
-        self, agent: RankAgent, link: AgentClient
+        self, agent: RankAgent, client: AgentClient
     ) -> None:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
-            silent.bind(("127.0.0.1", 0))
-            host, port = silent.getsockname()
-            answers = link.ask({f"{host}:{port}": [REPORT], agent.address: [REPORT]})
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unresponsive:
+            unresponsive.bind(("127.0.0.1", 0))
+            host, port = unresponsive.getsockname()
+            answers = client.ask({f"{host}:{port}": [REPORT], agent.address: [REPORT]})
         assert list(answers) == [agent.address]
 
     def test_a_late_reply_isnt_matched_to_another_request(
-        self, link: AgentClient
+        self, client: AgentClient
     ) -> None:
         """Guards against a report from before an order counted as newer."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as agent:
             agent.bind(("127.0.0.1", 0))
             host, port = agent.getsockname()
             address = f"{host}:{port}"
-            assert link.ask({address: [REPORT]}) == {}
+            assert client.ask({address: [REPORT]}) == {}
             data, sender = agent.recvfrom(65_535)
             number = decode_request(data).sequence_number
             agent.sendto(encode_reply(AgentReply(number, (NO_RESPONSE,))), sender)
-            assert link.ask({address: [REPORT]}) == {}
+            assert client.ask({address: [REPORT]}) == {}
 
 
 class TestProgram:
--- a/mintsaddle/settings/tests/test_read.py
+++ b/mintsaddle/settings/tests/test_read.py
@@ -37,7 +37,7 @@
             ("[daemon]", "[demon]", 1, "the only one is [daemon]"),
         ],
     )
-    def test_finding_has_its_place(
+    def test_finding_has_its_line(
         self, old: str, new: str, line: int, problem: str
     ) -> None:
         result = read_settings("file", GOOD.replace(old, new, 1))
--- a/mintsaddle/transport/tests/test_convert.py
+++ b/mintsaddle/transport/tests/test_convert.py
@@ -71,8 +71,8 @@
         assert read_home_answer(write_home_answer(answer, STAMP)) == answer
 
     def test_bequest(self) -> None:
-        bequest = LedgerSnapshot("a", 5, "orders", 3.5, (ENTRY,))
-        assert read_bequest(write_bequest(bequest, STAMP)) == bequest
+        snapshot = LedgerSnapshot("a", 5, "orders", 3.5, (ENTRY,))
+        assert read_bequest(write_bequest(snapshot, STAMP)) == snapshot
 
 
 class TestConfiguration:
