--- a/fakes/model/_oracle.py
+++ b/fakes/model/_oracle.py
@@ -18,7 +18,7 @@
 
 
 class Violation(NamedTuple):
-    """An invariant that a run broke."""
+    """An invariant that a run violated."""
 
     invariant: str
     """Short name of the invariant."""
@@ -29,7 +29,7 @@
 def find_violations(
     site: Site, faults: tuple[str, ...], planned: bool
 ) -> list[Violation]:
-    """Return every broken invariant of a finished simulation."""
+    """Return every violated invariant of a finished simulation."""
     found = [
         *_check_cold(site),
         *_check_marked_out(site),
--- a/fakes/model/tests/test_matrix.py
+++ b/fakes/model/tests/test_matrix.py
@@ -36,7 +36,7 @@
 
 class TestSingleFaults:
     @pytest.mark.parametrize("fault", FAULTS)
-    def test_no_promise_is_broken(self, fault: str) -> None:
+    def test_no_invariant_is_violated(self, fault: str) -> None:
         found = []
         for kind, step in itertools.product(KINDS, STEPS):
             result = run_cell(Cell(kind, step, (fault,)))
@@ -47,7 +47,7 @@
 
 class TestPairs:
     @pytest.mark.parametrize("kind", KINDS)
-    def test_no_promise_is_broken(self, kind: str) -> None:
+    def test_no_invariant_is_violated(self, kind: str) -> None:
         found = []
         for cell in [cell for cell in all_pairs() if cell.kind == kind][
             ::CI_PAIR_STRIDE
@@ -178,5 +178,5 @@
     def test_permissive_guard_is_reported(self, case: PermissiveGuard) -> None:
         assert not run_cell(case.cell).violations
         with patch.object(case.module, case.name, case.guard):
-            broken = {item.invariant for item in run_cell(case.cell).violations}
-        assert case.invariant in broken, (str(case.cell), broken)
+            violated = {item.invariant for item in run_cell(case.cell).violations}
+        assert case.invariant in violated, (str(case.cell), violated)
--- a/fakes/model/tests/test_partition.py
+++ b/fakes/model/tests/test_partition.py
@@ -50,7 +50,7 @@
         site.run()
         assert not find_violations(site, ("cut off",), planned=False)
 
-    def test_brought_key_of_the_other_side_claims_nothing(self) -> None:
+    def test_supplied_key_of_the_other_side_claims_nothing(self) -> None:
         """Guards against a NOT_RUN answer for an order the other side may run.
 
         The caller would order again, and the order would run twice.
--- a/fakes/ranks.py
+++ b/fakes/ranks.py
@@ -1,4 +1,4 @@
-"""A fake rank that runs in lock-step with the other ranks of its group.
+"""A fake rank that runs in lockstep with the other ranks of its group.
 
 A hub in rank 0's process is the barrier between steps. Each rank sends it, by
 TCP, the number of the step that it enters and the version of its expert map.
@@ -78,7 +78,7 @@
         return {"mixed": mixed_steps, "steps": self._completed, "map": self._active}
 
     def run(self, hub: str) -> None:
-        """Run steps for ever: enter, wait for the other ranks, complete."""
+        """Run steps forever: enter, wait for the other ranks, complete."""
         connection = _connect(hub)
         stream = connection.makefile("rw")
         while True:
--- a/mintsaddle/decisions/arrivals/tests/test_arrivals.py
+++ b/mintsaddle/decisions/arrivals/tests/test_arrivals.py
@@ -148,7 +148,7 @@
         assert found == (Claim.NEVER, Reason.LEAVING)
         assert refusal_of(endpoint.arrive("r4")) == (Claim.NEVER, Reason.LEAVING)
 
-    def test_marked_out_refuses_whoever_sends(self) -> None:
+    def test_marked_out_refuses_every_sender(self) -> None:
         endpoint = EndpointHarness()
         adopt_marks(endpoint.configuration, 1, "[marks]\ndata centre a = out\n")
         assert refusal_of(endpoint.arrive("r1")) == (Claim.NEVER, Reason.MARKED_OUT)
--- a/mintsaddle/decisions/direct/tests/test_direct.py
+++ b/mintsaddle/decisions/direct/tests/test_direct.py
@@ -85,7 +85,7 @@
         assert decision.outcome is Outcome.IN_DOUBT
 
     def test_a_later_refusal_does_not_undo_the_doubt(self) -> None:
-        """Guards against reporting «not run» for a call that may have run."""
+        """Guards against reporting "not run" for a call that may have run."""
         call = record_attempt(make_call(), "e-1", Ending.BROKEN)
         call = record_attempt(call, "e-2", Ending.NOT_RUN)
         decision = decide_next(call, Ending.NOT_RUN, has_budget=True, now=1.0)
@@ -339,7 +339,7 @@
         availability.record_report("g", 2, True, 14.0, step=9)
         assert not availability.is_down("g")
 
-    def test_nobody_is_held_longer_than_callers_wait(self) -> None:
+    def test_no_request_is_held_longer_than_callers_wait(self) -> None:
         assert hold_until(make_call()) == pytest.approx(1.75)
         late = make_call()._replace(arrived_at=0.0, deadline=1.0)
         assert hold_until(late) == pytest.approx(0.75)
--- a/mintsaddle/decisions/direct/tests/test_pace.py
+++ b/mintsaddle/decisions/direct/tests/test_pace.py
@@ -134,7 +134,7 @@
         """Guards against an overload that makes all streams late."""
         assert Simulation(admits=True).run(self.RATE) > 0.3
 
-    def test_without_admission_hardly_any_are(self) -> None:
+    def test_without_admission_most_streams_are_late(self) -> None:
         assert Simulation(admits=False).run(self.RATE) < 0.1
 
     def test_a_calm_group_refuses_nothing(self) -> None:
--- a/mintsaddle/decisions/direct/tests/test_rate_limits.py
+++ b/mintsaddle/decisions/direct/tests/test_rate_limits.py
@@ -34,7 +34,7 @@
 
 
 class TestRateLimits:
-    def test_the_newest_answer_counts_whoever_reports_it(self) -> None:
+    def test_the_newest_response_counts_whichever_entry_reports_it(self) -> None:
         limits = RateLimits()
         assert limits.record(DESK, 5.0, 10.0)
         assert not limits.record(DESK, 9.0, 9.0)
@@ -60,7 +60,7 @@
 
 
 class TestPermitGranter:
-    def test_whoever_asks_may_use_the_whole_rate(self) -> None:
+    def test_a_single_requester_may_use_the_whole_rate(self) -> None:
         """Guards against capacity reserved for entries without requests."""
         granter = PermitGranter()
         grant_for(granter, 10.0, 0.0, NEW_GRANTER_SECONDS)
@@ -77,7 +77,7 @@
         grant_for(granter, 200.0, 0.0, 1.0)
         assert grant_for(granter, 0.5, 5.0, 6.0) <= MAX_BURST_PERMITS
 
-    def test_an_endpoint_that_takes_nothing_is_still_asked(self) -> None:
+    def test_an_endpoint_with_a_zero_rate_is_still_tried(self) -> None:
         """Guards against a lifted limit that no entry notices."""
         granted = grant_for(PermitGranter(), 0.0, 0.0, 20.0)
         assert granted == pytest.approx(20 * MIN_GRANT_RATE, abs=1)
--- a/mintsaddle/platform/tests/test_entry_process.py
+++ b/mintsaddle/platform/tests/test_entry_process.py
@@ -122,7 +122,7 @@
 
 
 class TestRules:
-    def test_the_key_determines_the_tenant(self, site: Site) -> None:
+    def test_the_key_determines_the_workspace(self, site: Site) -> None:
         site.entry.call("GET", "/lookup/%41?b=%2F", X_Mintsaddle_Tenant="forged")
         (request,) = site.requests()
         assert request["X-Mintsaddle-Tenant"] == "north"
@@ -307,7 +307,7 @@
         assert site.entry.call("GET", "/lookup/1")[0] == 200
 
 
-class TestSilentEndpoints:
+class TestUnresponsiveEndpoints:
     def test_a_lookup_goes_elsewhere_in_time(self, site: Site) -> None:
         """Guards against a lookup that waits for a lost response."""
         site.script(standins.never_respond)
--- a/mintsaddle/platform/tests/test_isolation.py
+++ b/mintsaddle/platform/tests/test_isolation.py
@@ -46,7 +46,7 @@
 
 
 @pytest.fixture
-def silent(monkeypatch: pytest.MonkeyPatch) -> Iterator[str]:
+def unresponsive(monkeypatch: pytest.MonkeyPatch) -> Iterator[str]:
     """An address that answers no connection attempt: its backlog is full."""
     monkeypatch.setattr(_paths, "CHECK_SECONDS", 0.05)
     with contextlib.ExitStack() as stack:
@@ -64,9 +64,11 @@
 
 
 class TestIsolation:
-    def test_an_entry_is_cut_off_while_it_reaches_nothing(self, silent: str) -> None:
-        """Guards against callers that wait in vain at an isolated entry."""
-        gateway = make_gateway(silent, silent)
+    def test_an_entry_is_cut_off_while_it_reaches_nothing(
+        self, unresponsive: str
+    ) -> None:
+        """Guards against callers that time out at an isolated entry."""
+        gateway = make_gateway(unresponsive, unresponsive)
         notified: list[bool] = []
         gateway.reach.on_change(lambda: notified.append(True))
         assert not gateway.is_cut_off()
@@ -78,19 +80,19 @@
         assert not gateway.is_cut_off()
 
     def test_an_entry_that_reaches_the_platform_is_not_cut_off(
-        self, silent: str, listener: str
+        self, unresponsive: str, listener: str
     ) -> None:
         """Guards against refusals by the only data centre that still works."""
-        gateway = make_gateway(silent, listener)
+        gateway = make_gateway(unresponsive, listener)
         check(gateway)
         assert gateway.reach.unreachable == ["b"]
         assert not gateway.is_cut_off()
 
     def test_a_vm_that_refuses_a_connection_is_reached(
-        self, silent: str, listener: str
+        self, unresponsive: str, listener: str
     ) -> None:
         with socket.create_server(("127.0.0.1", 0)) as closed:
             address = f"127.0.0.1:{closed.getsockname()[1]}"
-        gateway = make_gateway(address, silent)
+        gateway = make_gateway(address, unresponsive)
         check(gateway)
         assert gateway.reach.unreachable == []
--- a/mintsaddle/platform/tests/test_restored_store.py
+++ b/mintsaddle/platform/tests/test_restored_store.py
@@ -21,8 +21,8 @@
     yield from standins.run_site(tmp_path)
 
 
-def log_lines_with(entry: standins.Entry, words: str) -> list[str]:
-    return [line for line in entry.log().splitlines() if words in line]
+def log_lines_with(entry: standins.Entry, text: str) -> list[str]:
+    return [line for line in entry.log().splitlines() if text in line]
 
 
 class TestLog:
--- a/mintsaddle/platform/tests/test_taking_items.py
+++ b/mintsaddle/platform/tests/test_taking_items.py
@@ -65,8 +65,8 @@
         self, gateway: Gateway
     ) -> None:
         """Guards against avoiding ranks whose failures their group caused."""
-        place = {"name": "g", "epoch": 1, "rank": 0, "state": "open"}
-        value = {**json.loads(ANNOUNCED), "group": place, "size": 2}
+        group = {"name": "g", "epoch": 1, "rank": 0, "state": "open"}
+        value = {**json.loads(ANNOUNCED), "group": group, "size": 2}
         apply(gateway, PublishedItem("servers/i-2", 6, json.dumps(value).encode()))
         rank = gateway.directory.endpoints["i-2"].assignment
         assert rank is not None
@@ -131,8 +131,8 @@
     def test_a_value_with_a_reused_revision_is_relayed(self, gateway: Gateway) -> None:
         """Guards against a compressed value cached before a restore."""
         relay = ReplicaRelay(gateway)
-        for era, word in enumerate((b"old", b"new")):
-            item = PublishedItem("op/config", 7, word * COMPRESSION_THRESHOLD_BYTES)
+        for era, content in enumerate((b"old", b"new")):
+            item = PublishedItem("op/config", 7, content * COMPRESSION_THRESHOLD_BYTES)
             gateway.apply_items(
                 [item],
                 Position(era, 7),
