--- a/mintsaddle/decisions/direct/tests/test_pace.py
+++ b/mintsaddle/decisions/direct/tests/test_pace.py
@@ -134,7 +134,7 @@
         """Guards against an overload that makes all streams late."""
         assert Simulation(admits=True).run(self.RATE) > 0.3
 
-    def test_without_admission_hardly_any_are(self) -> None:
+    def test_without_admission_most_streams_are_late(self) -> None:
         assert Simulation(admits=False).run(self.RATE) < 0.1
 
     def test_a_calm_group_refuses_nothing(self) -> None:
@@ -166,7 +166,7 @@
             step_times.record("g", epoch, step, at)
         assert step_times.step_seconds("g", 0.5) == pytest.approx(0.1)
 
-    def test_a_new_epoch_begins_anew(self) -> None:
+    def test_a_new_epoch_resets_the_step_time(self) -> None:
         step_times = GroupStepTimes()
         step_times.record("g", 1, 500, 0.0)
         step_times.record("g", 2, 3, 0.5)
